--- a/balancer/__main__.py
+++ b/balancer/__main__.py
@@ -17,8 +17,8 @@
     UnreadableConfigurationError,
     load_configuration,
 )
-from balancer.sidecar.lifecycle import block_signals, run_sidecar
-from balancer.sidecar.sockets import RESOURCE_SHORTAGE_ERRNOS
+from balancer.sidecar.process.lifecycle import block_signals, run_sidecar
+from balancer.sidecar.runtime.sockets import RESOURCE_SHORTAGE_ERRNOS
 
 LOG_FORMAT = "%(levelname)s %(name)s: %(message)s"
 LOG_LEVELS = ("DEBUG", "INFO", "WARNING", "ERROR")
--- a/balancer/policy/admission.py
+++ b/balancer/policy/admission.py
@@ -16,6 +16,7 @@
 MIN_LOWER, MAX_LOWER = 0.005, 0.1  # share of the arrivals that a cycle admits again; grows with the calm
 CALM_RAMP_CYCLES = 8  # and with how long that has lasted, up to so many cycles
 HISTOGRAM_DECAY, MIN_MASS = 0.9, 0.02  # share of it kept from cycle to cycle, and what of a level is dropped
+NEGLIGIBLE_MASS = 1e-9  # of arrivals; what rounding leaves counts as none
 MAX_SHED = 0.9  # never shed all: without attempts there are no samples
 
 
@@ -83,7 +84,7 @@
         for first, count, mass in arrivals:
             low = max(self.threshold, first)
             above = mass * (first + count - low) / count
-            if above <= 1e-9:
+            if above <= NEGLIGIBLE_MASS:
                 continue
             if above >= target:
                 self.threshold = low + max(0.0, target) * count / mass
@@ -99,7 +100,7 @@
         for first, count, mass in reversed(arrivals):
             high = min(self.threshold, first + count)
             below = mass * (high - first) / count
-            if below <= 1e-9:
+            if below <= NEGLIGIBLE_MASS:
                 continue
             if below >= target:
                 self.threshold = min(low, high - target * count / mass)
--- a/balancer/policy/gossip.py
+++ b/balancer/policy/gossip.py
@@ -27,7 +27,7 @@
     def share(self) -> list[SendGossip]:
         """Give a part of all sums away, and return the message that carries it, if there is one."""
         settings = self._settings
-        if not settings.gossip_enabled or settings.instance_count < 2:
+        if not settings.gossip_enabled or settings.instance_count <= 1:
             return []
         message = self._current_message()
         message.scale(KEPT_PART, MAX_VALUE)
--- a/balancer/policy/membership.py
+++ b/balancer/policy/membership.py
@@ -39,8 +39,8 @@
     def apply(self, update: EndpointUpdate) -> None:
         """Take over a list or its changes; removed endpoints stay until their last attempt has ended."""
         self._is_watching |= update.kind != EndpointUpdateKind.CACHED
-        for entry in update.endpoints:
-            entry = entry._replace(zone=min(entry.zone, self._settings.zone_count - 1))  # it may be unknown
+        for listed in update.endpoints:
+            entry = listed._replace(zone=min(listed.zone, self._settings.zone_count - 1))  # it may be unknown
             if entry.id in self.endpoints:
                 self.endpoints[entry.id].update(entry)
             else:
--- a/balancer/sidecar/configuration.py
+++ b/balancer/sidecar/configuration.py
@@ -12,13 +12,14 @@
 from balancer.json_object import JsonObject, is_list, is_object
 from balancer.policy_api import Settings
 from balancer.settings_parser import SettingsError, read_settings
-from balancer.sidecar.address import Address, parse_address
-from balancer.sidecar.endpoint_list import (
+from balancer.sidecar.discovery.client import DiscoveryClientConfiguration
+from balancer.sidecar.discovery.endpoint_list import (
     EndpointListUpdate,
     MalformedEndpointListError,
     NameIndices,
     parse_endpoint_list,
 )
+from balancer.sidecar.runtime.address import Address, parse_address
 from balancer.time_units import SECOND_NS
 
 MAX_DESCRIPTORS = 1024
@@ -74,6 +75,16 @@
     known_endpoints: EndpointListUpdate
     """The endpoint list as it was last stored; it may be stale."""
 
+    def discovery_client(self) -> DiscoveryClientConfiguration:
+        """Return the part of the configuration that concerns the discovery client."""
+        return DiscoveryClientConfiguration(
+            address=self.discovery_address,
+            settings=self.settings,
+            name_indices=self.name_indices,
+            seed=self.seed,
+            known_version=self.known_endpoints.version,
+        )
+
 
 def load_configuration(environ: Mapping[str, str]) -> SidecarConfiguration:
     """Read the configuration that the environment names.
--- a/balancer/sidecar/discovery_call.py
+++ b/balancer/sidecar/discovery/call.py
@@ -8,16 +8,16 @@
 from http import HTTPStatus
 
 from balancer.errors import DiscoveryError
-from balancer.sidecar.address import Address
-from balancer.sidecar.endpoint_list import (
+from balancer.sidecar.discovery.endpoint_list import (
     EndpointListUpdate,
     MalformedEndpointListError,
     NameIndices,
     parse_endpoint_list,
 )
-from balancer.sidecar.http_message import HttpResponse
-from balancer.sidecar.upstream.buffer_budget import BufferBudget
-from balancer.sidecar.upstream.connection import UpstreamConnection
+from balancer.sidecar.http.buffer_budget import BufferBudget
+from balancer.sidecar.http.message import HttpResponse
+from balancer.sidecar.http.outbound_connection import OutboundConnection
+from balancer.sidecar.runtime.address import Address
 
 MAX_LIST_BYTES = 4 * 1024 * 1024
 LIST_PATH = "/discovery/hosts"
@@ -73,7 +73,7 @@
         self._address = address
         self._names = names
         self._loop = loop
-        self._idle_connection: UpstreamConnection | None = None
+        self._idle_connection: OutboundConnection | None = None
 
     @property
     def address(self) -> Address:
@@ -81,7 +81,7 @@
         return self._address
 
     @property
-    def idle_connection(self) -> UpstreamConnection | None:
+    def idle_connection(self) -> OutboundConnection | None:
         """The connection that is kept for the next call, if there is one."""
         return self._idle_connection
 
@@ -122,17 +122,17 @@
         self._idle_connection = connection
         return self._parse(response.body)
 
-    def _acquire_connection(self) -> UpstreamConnection:
+    def _acquire_connection(self) -> OutboundConnection:
         """Return the idle connection if it can be used again, else one that is yet to be established."""
         connection, self._idle_connection = self._idle_connection, None
         if connection is not None:
             if connection.is_reusable():
                 return connection
             connection.close()
-        return UpstreamConnection(budget=BufferBudget(MAX_LIST_BYTES))
+        return OutboundConnection(budget=BufferBudget(MAX_LIST_BYTES))
 
     async def _request(
-        self, connection: UpstreamConnection, query: str, timeout_seconds: float
+        self, connection: OutboundConnection, query: str, timeout_seconds: float
     ) -> HttpResponse:
         """Return a whole response of status 200."""
         try:
@@ -149,7 +149,7 @@
             raise DiscoveryCallError(self._address, f"status {response.status}")
         return response
 
-    async def _exchange(self, connection: UpstreamConnection, query: str) -> HttpResponse | None:
+    async def _exchange(self, connection: OutboundConnection, query: str) -> HttpResponse | None:
         """Send a request and return its response, or None if the connection broke."""
         host, port = self._address
         if not connection.is_established:
--- a/balancer/sidecar/discovery_client.py
+++ b/balancer/sidecar/discovery/client.py
@@ -5,20 +5,20 @@
 import asyncio
 import logging
 from collections.abc import Coroutine
+from dataclasses import dataclass
 from random import Random
+from typing import Protocol
 
-from balancer.policy_api import EndpointUpdate, EndpointUpdateKind
-from balancer.sidecar.address import Address
-from balancer.sidecar.configuration import SidecarConfiguration
-from balancer.sidecar.discovery_call import DiscoveryCaller, DiscoveryCallError
-from balancer.sidecar.discovery_profile import (
+from balancer.policy_api import EndpointUpdateKind, Settings
+from balancer.sidecar.discovery.call import DiscoveryCaller, DiscoveryCallError
+from balancer.sidecar.discovery.endpoint_list import EndpointListUpdate, NameIndices
+from balancer.sidecar.discovery.profile import (
     FETCH_TIMEOUT_SECONDS,
     UNCHANGED_PAUSE_SECONDS,
     select_profile,
 )
-from balancer.sidecar.discovery_retry import WatchRetryPolicy
-from balancer.sidecar.dispatcher import Dispatcher
-from balancer.sidecar.endpoint_list import EndpointListUpdate
+from balancer.sidecar.discovery.retry import WatchRetryPolicy
+from balancer.sidecar.runtime.address import Address
 
 FAULT_PAUSE_SECONDS = 0.25
 """After an update that could not be taken, by a fault of this program."""
@@ -26,31 +26,53 @@
 log = logging.getLogger(__name__)
 
 
+@dataclass(frozen=True, slots=True)
+class DiscoveryClientConfiguration:
+    """What a discovery client is configured with."""
+
+    address: Address
+    settings: Settings
+    name_indices: NameIndices
+    seed: int
+    known_version: int
+    """The version of the endpoint list that the sidecar starts with."""
+
+
+class EndpointListObserver(Protocol):
+    """Is notified of what the calls to discovery brought."""
+
+    def on_endpoint_update(self, update: EndpointListUpdate, kind: EndpointUpdateKind, /) -> None:
+        """Apply a new endpoint list or a change of it."""
+
+    def on_discovery_failed(self) -> None:
+        """Take note that a call to discovery failed."""
+
+
 class DiscoveryClient:
-    """Passes endpoint lists from discovery on to the dispatcher.
+    """Keeps the endpoint list up to date and notifies an observer of each change.
 
     It owns the tasks of its calls: `stop` cancels and awaits them.
     """
 
     def __init__(
-        self, config: SidecarConfiguration, dispatcher: Dispatcher, loop: asyncio.AbstractEventLoop
+        self,
+        config: DiscoveryClientConfiguration,
+        observer: EndpointListObserver,
+        loop: asyncio.AbstractEventLoop,
     ) -> None:
         self.profile = select_profile(config.settings)
         # A call whose connection came up late still has its whole hold.
         connect_timeout_seconds = self.profile.grace_seconds
-        self.caller = DiscoveryCaller(
-            config.discovery_address, config.name_indices, connect_timeout_seconds, loop
-        )
-        self._dispatcher = dispatcher
+        self.caller = DiscoveryCaller(config.address, config.name_indices, connect_timeout_seconds, loop)
+        self._observer = observer
         self._loop = loop
         self._random = Random(config.seed)
-        self._version = config.known_endpoints.version
+        self._version = config.known_version
         self._needs_snapshot = False  # of a new address, as its versions may be numbered otherwise
         self._tasks: set[asyncio.Task[None]] = set()
         self._watch_task: asyncio.Task[None] | None = None
         self._fetch_task: asyncio.Task[None] | None = None
         self._is_stopped = False
-        dispatcher.attach_discovery(self)
 
     def start(self) -> None:
         """Begin to watch, unless that is left to the decisions."""
@@ -156,7 +178,7 @@
         return update
 
     def _deliver(self, update: EndpointListUpdate) -> bool:
-        """Pass an update on to the dispatcher. Returns whether it counts as new."""
+        """Notify the observer of an update. Return whether it counts as new."""
         is_empty = not update.is_snapshot and not update.endpoints
         is_repeated = update.is_snapshot and update.version == self._version and not self._needs_snapshot
         self._version = update.version
@@ -165,11 +187,11 @@
         if update.is_snapshot:
             self._needs_snapshot = False
         kind = EndpointUpdateKind.SNAPSHOT if update.is_snapshot else EndpointUpdateKind.DELTA
-        self._dispatcher.on_endpoint_update(update, kind)
+        self._observer.on_endpoint_update(update, kind)
         return not is_empty
 
     def _report_failure(self) -> None:
-        self._dispatcher.dispatch(EndpointUpdate(EndpointUpdateKind.DISCOVERY_FAILED, ()))
+        self._observer.on_discovery_failed()
 
 
 def _is_running(task: asyncio.Task[None] | None) -> bool:
--- a/balancer/sidecar/endpoint_list.py
+++ b/balancer/sidecar/discovery/endpoint_list.py
@@ -14,7 +14,7 @@
 from balancer.errors import InvalidFieldError, ProtocolError
 from balancer.json_object import JsonObject, is_integer, is_list, is_object
 from balancer.policy_api import Endpoint, EndpointHealth, EndpointId
-from balancer.sidecar.address import Address, parse_address
+from balancer.sidecar.runtime.address import Address, parse_address
 from balancer.time_units import MILLISECOND_NS
 
 log = logging.getLogger(__name__)
--- a/balancer/sidecar/discovery_retry.py
+++ b/balancer/sidecar/discovery/retry.py
@@ -4,12 +4,12 @@
 
 from random import Random
 
-from balancer.sidecar.discovery_call import (
+from balancer.sidecar.discovery.call import (
     DiscoveryCallError,
     DiscoveryTimeoutError,
     MalformedDiscoveryResponseError,
 )
-from balancer.sidecar.discovery_profile import DiscoveryProfile
+from balancer.sidecar.discovery.profile import DiscoveryProfile
 
 
 class Backoff:
--- a/balancer/sidecar/start_times.py
+++ b/balancer/sidecar/discovery/start_times.py
@@ -45,7 +45,7 @@
 
     def __init__(self, now_ns: Callable[[], int], wall_time_ns: Callable[[], int] | None = None) -> None:
         self._now_ns = now_ns
-        self._wall_time_ns = wall_time_ns if wall_time_ns is not None else lambda: time.time_ns()
+        self._wall_time_ns = wall_time_ns if wall_time_ns is not None else time.time_ns
         self._offsets_ns: deque[int] = deque(maxlen=MAX_OFFSETS)
         self._known_starts: dict[EndpointId, _KnownStart] = {}
         self.observe_wall_clock()
--- a/balancer/sidecar/downstream/acceptor.py
+++ b/balancer/sidecar/downstream/acceptor.py
@@ -10,9 +10,9 @@
 from functools import partial
 from typing import TypeAlias
 
-from balancer.sidecar.address import Address
-from balancer.sidecar.metrics import Metric, Metrics
-from balancer.sidecar.timers import OneShotTimer
+from balancer.sidecar.runtime.address import Address
+from balancer.sidecar.runtime.metrics import Metric, Metrics
+from balancer.sidecar.runtime.timers import OneShotTimer
 
 LISTEN_BACKLOG = 512
 """Connections that may wait to be accepted."""
--- a/balancer/sidecar/downstream/client_transport.py
+++ b/balancer/sidecar/downstream/client_transport.py
@@ -7,7 +7,7 @@
 import socket
 from typing import cast
 
-from balancer.sidecar.sockets import shut_down_socket
+from balancer.sidecar.runtime.sockets import shut_down_socket
 
 
 class ClientTransport:
--- a/balancer/sidecar/downstream/connection.py
+++ b/balancer/sidecar/downstream/connection.py
@@ -7,7 +7,6 @@
 from http import HTTPStatus
 from typing import Protocol
 
-from balancer.sidecar.client_request import ClientRequest
 from balancer.sidecar.downstream.client_transport import ClientTransport
 from balancer.sidecar.downstream.exchange import Exchange, ExchangeQueue
 from balancer.sidecar.downstream.interfaces import RequestDispatcher
@@ -18,9 +17,10 @@
 )
 from balancer.sidecar.downstream.response import CONTINUE_RESPONSE, encode_response, request_error_response
 from balancer.sidecar.downstream.timeouts import DownstreamTimeouts
-from balancer.sidecar.http_message import MAX_REQUEST_BODY_BYTES, HttpResponse
-from balancer.sidecar.http_request import HttpRequestError, RequestHead
-from balancer.sidecar.metrics import Invariant, Metric
+from balancer.sidecar.http.message import MAX_REQUEST_BODY_BYTES, HttpResponse
+from balancer.sidecar.http.request import HttpRequestError, RequestHead
+from balancer.sidecar.requests.client_request import ClientRequest
+from balancer.sidecar.runtime.metrics import Invariant, Metric
 
 READINESS_METHOD = b"GET"
 READINESS_PATH = b"/up"
--- a/balancer/sidecar/downstream/exchange.py
+++ b/balancer/sidecar/downstream/exchange.py
@@ -6,7 +6,7 @@
 from typing import Protocol
 
 from balancer.sidecar.downstream.response import failed_response, forwarded_response, rejected_response
-from balancer.sidecar.http_message import HttpResponse
+from balancer.sidecar.http.message import HttpResponse
 
 MAX_PIPELINED_REQUESTS = 16
 """Requests that are taken on one connection ahead of the response to the first of them."""
--- a/balancer/sidecar/downstream/interfaces.py
+++ b/balancer/sidecar/downstream/interfaces.py
@@ -4,8 +4,8 @@
 
 from typing import Protocol
 
-from balancer.sidecar.client_request import ClientRequest, ResponseSink
-from balancer.sidecar.metrics import Metrics
+from balancer.sidecar.requests.client_request import ClientRequest, ResponseSink
+from balancer.sidecar.runtime.metrics import Metrics
 
 
 class RequestDispatcher(Protocol):
--- a/balancer/sidecar/downstream/listener.py
+++ b/balancer/sidecar/downstream/listener.py
@@ -5,16 +5,16 @@
 import asyncio
 from http import HTTPStatus
 
-from balancer.sidecar.client_request import ClientRequest
 from balancer.sidecar.configuration import SidecarConfiguration
 from balancer.sidecar.downstream.connection import CloseReason, DownstreamConnection
 from balancer.sidecar.downstream.connection_registry import ConnectionRegistry
 from balancer.sidecar.downstream.interfaces import RequestDispatcher
+from balancer.sidecar.downstream.request_validator import RequestValidator
 from balancer.sidecar.downstream.timeouts import DEFAULT_TIMEOUTS, DownstreamTimeouts
-from balancer.sidecar.http_message import HttpResponse
-from balancer.sidecar.http_request import HttpRequestError, RequestHead
-from balancer.sidecar.request_validator import RequestValidator
-from balancer.sidecar.timers import OneShotTimer
+from balancer.sidecar.http.message import HttpResponse
+from balancer.sidecar.http.request import HttpRequestError, RequestHead
+from balancer.sidecar.requests.client_request import ClientRequest
+from balancer.sidecar.runtime.timers import OneShotTimer
 
 
 class Listener:
--- a/balancer/sidecar/downstream/request_reader.py
+++ b/balancer/sidecar/downstream/request_reader.py
@@ -5,7 +5,7 @@
 from collections import deque
 from typing import NamedTuple
 
-from balancer.sidecar.http_request import END_OF_HEAD, RequestHead, check_partial_head, parse_request_head
+from balancer.sidecar.http.request import END_OF_HEAD, RequestHead, check_partial_head, parse_request_head
 
 ARRIVAL_RESOLUTION_SECONDS = 0.01
 """Bytes that arrive within this time count as arrived together: a client may send them one by one."""
--- a/balancer/sidecar/request_validator.py
+++ b/balancer/sidecar/downstream/request_validator.py
@@ -8,9 +8,8 @@
 from typing import NamedTuple
 
 from balancer.policy_api import Idempotency
-from balancer.sidecar.client_request import ClientRequest
 from balancer.sidecar.configuration import SidecarConfiguration
-from balancer.sidecar.http_request import (
+from balancer.sidecar.http.request import (
     DEADLINE_FIELD,
     FORWARDED_FIELDS,
     IDEMPOTENCY_KEY_FIELD,
@@ -23,6 +22,7 @@
     RequestHead,
     bad_request,
 )
+from balancer.sidecar.requests.client_request import ClientRequest
 from balancer.time_units import SECOND_NS
 
 MICROSECOND_NS = 1_000
--- a/balancer/sidecar/downstream/response.py
+++ b/balancer/sidecar/downstream/response.py
@@ -4,8 +4,8 @@
 
 from http import HTTPStatus
 
-from balancer.sidecar.http_message import Headers, HttpResponse
-from balancer.sidecar.http_request import HttpRequestError
+from balancer.sidecar.http.message import Headers, HttpResponse
+from balancer.sidecar.http.request import HttpRequestError
 from balancer.time_units import SECOND_NS
 
 CONTINUE_RESPONSE = b"HTTP/1.1 100 Continue\r\n\r\n"
--- a/balancer/sidecar/gossip_transport.py
+++ b/balancer/sidecar/gossip_transport.py
@@ -6,9 +6,9 @@
 from typing import cast
 
 from balancer.policy_api import GossipReceived
-from balancer.sidecar.address import Address
 from balancer.sidecar.configuration import SidecarConfiguration
-from balancer.sidecar.dispatcher import Dispatcher
+from balancer.sidecar.requests.dispatcher import Dispatcher
+from balancer.sidecar.runtime.address import Address
 
 MAX_GOSSIP_BYTES = 256
 """The longest payload of a message; a longer one is dropped."""
--- a/balancer/sidecar/upstream/connection.py
+++ b/balancer/sidecar/http/outbound_connection.py
@@ -9,17 +9,17 @@
 from collections.abc import Callable
 from typing import TypeAlias, cast
 
-from balancer.sidecar.address import Address
-from balancer.sidecar.http_message import MAX_RESPONSE_BODY_BYTES, HttpResponse
-from balancer.sidecar.sockets import shut_down_socket
-from balancer.sidecar.upstream.buffer_budget import BufferBudget
-from balancer.sidecar.upstream.response_parser import ResponseError, ResponseParser
+from balancer.sidecar.http.buffer_budget import BufferBudget
+from balancer.sidecar.http.message import MAX_RESPONSE_BODY_BYTES, HttpResponse
+from balancer.sidecar.http.response_parser import ResponseError, ResponseParser
+from balancer.sidecar.runtime.address import Address
+from balancer.sidecar.runtime.sockets import shut_down_socket
 
 ResponseCallback: TypeAlias = Callable[[HttpResponse | None], None]
 """Gets the response, or None where the connection broke or the response is unusable."""
 
 
-class UpstreamConnection(asyncio.Protocol):
+class OutboundConnection(asyncio.Protocol):
     """Carries one request at a time and never sends a request again by itself.
 
     `on_lost` is called once the connection is lost, which comes at least one turn of the event loop after
@@ -29,7 +29,7 @@
 
     def __init__(
         self,
-        on_lost: Callable[[UpstreamConnection], None] | None = None,
+        on_lost: Callable[[OutboundConnection], None] | None = None,
         budget: BufferBudget | None = None,
     ) -> None:
         self._on_lost = on_lost
--- a/balancer/sidecar/http_request.py
+++ b/balancer/sidecar/http/request.py
@@ -12,7 +12,7 @@
 from typing import NamedTuple
 
 from balancer.errors import ProtocolError
-from balancer.sidecar.http_message import MAX_HEAD_BYTES, MAX_REQUEST_BODY_BYTES
+from balancer.sidecar.http.message import MAX_HEAD_BYTES, MAX_REQUEST_BODY_BYTES
 
 END_OF_HEAD = b"\r\n\r\n"
 
--- a/balancer/sidecar/upstream/response_parser.py
+++ b/balancer/sidecar/http/response_parser.py
@@ -11,8 +11,8 @@
 import httptools
 
 from balancer.errors import ProtocolError
-from balancer.sidecar.http_message import MAX_HEAD_BYTES, MAX_RESPONSE_BODY_BYTES, Headers, HttpResponse
-from balancer.sidecar.upstream.buffer_budget import BufferBudget
+from balancer.sidecar.http.buffer_budget import BufferBudget
+from balancer.sidecar.http.message import MAX_HEAD_BYTES, MAX_RESPONSE_BODY_BYTES, Headers, HttpResponse
 
 FIRST_FINAL_STATUS = 200  # responses with a lower status are interim ones: another follows (RFC 9110, 15.2)
 STATUSES_WITHOUT_BODY = frozenset((HTTPStatus.NO_CONTENT, HTTPStatus.NOT_MODIFIED))
--- /dev/null
+++ b/balancer/sidecar/process/__init__.py
@@ -0,0 +1,1 @@
+"""The process: start, reload and graceful shutdown."""
--- a/balancer/sidecar/lifecycle.py
+++ b/balancer/sidecar/process/lifecycle.py
@@ -10,20 +10,20 @@
 from functools import partial
 
 from balancer.errors import ConfigurationError
-from balancer.sidecar.clock import Clock
 from balancer.sidecar.configuration import (
     SidecarConfiguration,
     UnreadableConfigurationError,
     load_configuration,
 )
-from balancer.sidecar.discovery_client import DiscoveryClient
-from balancer.sidecar.dispatcher import Dispatcher
+from balancer.sidecar.discovery.client import DiscoveryClient
 from balancer.sidecar.downstream.acceptor import Acceptor, open_listening_socket
 from balancer.sidecar.downstream.connection import DownstreamConnection
 from balancer.sidecar.downstream.listener import Listener
 from balancer.sidecar.gossip_transport import GossipTransport
-from balancer.sidecar.metrics import Metrics
-from balancer.sidecar.timers import OneShotTimer
+from balancer.sidecar.requests.dispatcher import Dispatcher
+from balancer.sidecar.runtime.clock import Clock
+from balancer.sidecar.runtime.metrics import Metrics
+from balancer.sidecar.runtime.timers import OneShotTimer
 from balancer.time_units import SECOND_NS
 
 RELOAD_DELAY_SECONDS = 0.02
@@ -185,7 +185,8 @@
         loop.add_signal_handler(shutdown_signal, shutdown_requested.set)
     await _open_gossip(config, dispatcher)
     dispatcher.start(config.known_endpoints)
-    discovery = DiscoveryClient(config, dispatcher, loop)
+    discovery = DiscoveryClient(config.discovery_client(), dispatcher, loop)
+    dispatcher.attach_discovery(discovery)
     reloader = ConfigurationReloader(discovery, loop)
     loop.add_signal_handler(signal.SIGHUP, reloader.request_reload)
     loop.add_signal_handler(signal.SIGUSR1, _log_metrics, dispatcher.metrics, logging.WARNING)
--- a/balancer/sidecar/attempt_guard.py
+++ b/balancer/sidecar/requests/attempt_guard.py
@@ -10,8 +10,8 @@
 from enum import StrEnum
 
 from balancer.policy_api import DeduplicationScope, Endpoint, EndpointId, Idempotency, Settings
-from balancer.sidecar.metrics import Invariant, Metrics
-from balancer.sidecar.request_ledger import EndpointGroup, InFlightRequest
+from balancer.sidecar.requests.ledger import EndpointGroup, InFlightRequest
+from balancer.sidecar.runtime.metrics import Invariant, Metrics
 from balancer.time_units import MILLISECOND_NS
 
 HELD_UP_NS = 150 * MILLISECOND_NS
--- a/balancer/sidecar/attempt_runner.py
+++ b/balancer/sidecar/requests/attempt_runner.py
@@ -15,10 +15,10 @@
     Settings,
     StartAttempt,
 )
-from balancer.sidecar.attempt_guard import AttemptGuard
-from balancer.sidecar.http_message import HttpResponse
-from balancer.sidecar.metrics import Invariant, Metric, Metrics
-from balancer.sidecar.request_ledger import InFlightRequest, RequestLedger
+from balancer.sidecar.http.message import HttpResponse
+from balancer.sidecar.requests.attempt_guard import AttemptGuard
+from balancer.sidecar.requests.ledger import InFlightRequest, RequestLedger
+from balancer.sidecar.runtime.metrics import Invariant, Metric, Metrics
 from balancer.sidecar.upstream.manager import UpstreamManager
 from balancer.time_units import SECOND_NS
 
--- a/balancer/sidecar/client_request.py
+++ b/balancer/sidecar/requests/client_request.py
@@ -4,7 +4,7 @@
 
 from typing import NamedTuple, Protocol
 
-from balancer.sidecar.http_message import HttpResponse
+from balancer.sidecar.http.message import HttpResponse
 
 
 class ResponseSink(Protocol):
--- a/balancer/sidecar/dispatcher.py
+++ b/balancer/sidecar/requests/dispatcher.py
@@ -39,17 +39,17 @@
     WatchEndpoints,
     WriteLog,
 )
-from balancer.sidecar.attempt_guard import AttemptGuard
-from balancer.sidecar.attempt_runner import AttemptRunner
-from balancer.sidecar.client_request import ClientRequest, ResponseSink
-from balancer.sidecar.clock import Clock
 from balancer.sidecar.configuration import SidecarConfiguration
-from balancer.sidecar.endpoint_list import EndpointListUpdate
-from balancer.sidecar.metrics import Invariant, Metric, Metrics
-from balancer.sidecar.ports import EndpointDiscovery, GossipSender, Policy
-from balancer.sidecar.request_ledger import InFlightRequest, RequestLedger
-from balancer.sidecar.start_times import StartTimeTranslator
-from balancer.sidecar.timers import OneShotTimer
+from balancer.sidecar.discovery.endpoint_list import EndpointListUpdate
+from balancer.sidecar.discovery.start_times import StartTimeTranslator
+from balancer.sidecar.requests.attempt_guard import AttemptGuard
+from balancer.sidecar.requests.attempt_runner import AttemptRunner
+from balancer.sidecar.requests.client_request import ClientRequest, ResponseSink
+from balancer.sidecar.requests.ledger import InFlightRequest, RequestLedger
+from balancer.sidecar.requests.ports import EndpointDiscovery, GossipSender, Policy
+from balancer.sidecar.runtime.clock import Clock
+from balancer.sidecar.runtime.metrics import Invariant, Metric, Metrics
+from balancer.sidecar.runtime.timers import OneShotTimer
 from balancer.sidecar.upstream.manager import UpstreamManager
 from balancer.time_units import MILLISECOND_NS, SECOND_NS
 
@@ -131,6 +131,10 @@
         self.metrics.count(Metric.ENDPOINT_UPDATES, kind.name.lower())
         self.dispatch(EndpointUpdate(kind, endpoints))
 
+    def on_discovery_failed(self) -> None:
+        """Tell the policy that a call to discovery failed; the endpoint list stays as it is."""
+        self.dispatch(EndpointUpdate(EndpointUpdateKind.DISCOVERY_FAILED, ()))
+
     def dispatch(self, event: Event) -> None:
         """Handle an event; one that an action brings about waits until the other actions are carried out."""
         self._events.append(event)
--- a/balancer/sidecar/request_ledger.py
+++ b/balancer/sidecar/requests/ledger.py
@@ -13,8 +13,8 @@
     Idempotency,
     Settings,
 )
-from balancer.sidecar.client_request import ClientRequest, ResponseSink
-from balancer.sidecar.timers import OneShotTimer
+from balancer.sidecar.requests.client_request import ClientRequest, ResponseSink
+from balancer.sidecar.runtime.timers import OneShotTimer
 from balancer.sidecar.upstream.attempt import Attempt
 from balancer.time_units import SECOND_NS
 
--- a/balancer/sidecar/upstream/attempt.py
+++ b/balancer/sidecar/upstream/attempt.py
@@ -12,11 +12,11 @@
 
 from balancer.errors import UpstreamConnectionError
 from balancer.policy_api import AttemptOutcome
-from balancer.sidecar.address import Address
-from balancer.sidecar.http_message import HttpResponse
-from balancer.sidecar.sockets import RESOURCE_SHORTAGE_ERRNOS
-from balancer.sidecar.timers import OneShotTimer
-from balancer.sidecar.upstream.connection import UpstreamConnection
+from balancer.sidecar.http.message import HttpResponse
+from balancer.sidecar.http.outbound_connection import OutboundConnection
+from balancer.sidecar.runtime.address import Address
+from balancer.sidecar.runtime.sockets import RESOURCE_SHORTAGE_ERRNOS
+from balancer.sidecar.runtime.timers import OneShotTimer
 from balancer.sidecar.upstream.pool import EndpointPool
 from balancer.time_units import SECOND_NS
 
@@ -79,7 +79,7 @@
     def make_room(self) -> bool:
         """Return whether a connection may be opened, having closed an idle one if need be."""
 
-    async def connect(self, pool: EndpointPool) -> UpstreamConnection:
+    async def connect(self, pool: EndpointPool) -> OutboundConnection:
         """Open a connection to the endpoint of this pool. Raises OSError."""
 
 
@@ -156,7 +156,7 @@
         self._start_before_ns = start_before_ns  # 0: no limit
         self._state = AttemptState.NEW
         self._connect_task: asyncio.Task[None] | None = None  # while CONNECTING or DETACHED
-        self._connection: UpstreamConnection | None = None  # while IN_FLIGHT or IN_BACKGROUND
+        self._connection: OutboundConnection | None = None  # while IN_FLIGHT or IN_BACKGROUND
         self._on_released: Callable[[], None] | None = None  # while IN_BACKGROUND
         # The limit for unsent bytes, then that of the background; made on demand, as few attempts need it.
         self._timer: OneShotTimer | None = None
@@ -236,7 +236,7 @@
         self._on_completed(AttemptOutcome.NOT_SENT, None)
 
     async def _connect_and_send(self, reuse_delay_seconds: float) -> None:
-        connection: UpstreamConnection | None = None
+        connection: OutboundConnection | None = None
         failure_outcome = AttemptOutcome.NOT_SENT
         try:
             connection = await self._obtain_connection(reuse_delay_seconds)
@@ -253,7 +253,7 @@
         else:
             self._use_new_connection(connection)
 
-    async def _obtain_connection(self, reuse_delay_seconds: float) -> UpstreamConnection | None:
+    async def _obtain_connection(self, reuse_delay_seconds: float) -> OutboundConnection | None:
         """Return a used connection after its reuse delay, which is cheaper than a handshake, else a new one.
 
         Returns None where the attempt was detached during the delay: then neither is of use. Raises
@@ -270,7 +270,7 @@
                 raise LocalResourceError(self._pool.address)
         return await self._open_connection()
 
-    async def _open_connection(self) -> UpstreamConnection:
+    async def _open_connection(self) -> OutboundConnection:
         """Return a new connection. Raises ConnectError.
 
         What becomes of a connect to an address that the endpoint has left meanwhile says nothing of the
@@ -300,13 +300,13 @@
             if not self._provider.make_room():
                 raise LocalResourceError(self._pool.address)
 
-    def _end_detached(self, connection: UpstreamConnection | None) -> None:
+    def _end_detached(self, connection: OutboundConnection | None) -> None:
         self._state = AttemptState.ENDED
         self._provider.background_attempts.discard(self)
         if connection is not None:
             self._pool.release(connection, self._provider.now_ns())
 
-    def _use_new_connection(self, connection: UpstreamConnection) -> None:
+    def _use_new_connection(self, connection: OutboundConnection) -> None:
         if not self._pool.is_ready:
             # The endpoint began to drain or was removed meanwhile: nothing new may be sent to it.
             connection.close()
@@ -323,7 +323,7 @@
     def _has_unsent_bytes(self) -> bool:
         return self._connection is not None and self._connection.has_unsent_bytes
 
-    def _send(self, connection: UpstreamConnection) -> None:
+    def _send(self, connection: OutboundConnection) -> None:
         self._state = AttemptState.IN_FLIGHT
         self._connection = connection
         # The payload's owner may abort the attempt here. Then the connection is closed and refuses it.
--- a/balancer/sidecar/upstream/health_check.py
+++ b/balancer/sidecar/upstream/health_check.py
@@ -9,8 +9,8 @@
 from typing import TypeAlias
 
 from balancer.policy_api import AttemptOutcome, EndpointId, HealthCheckCompleted
-from balancer.sidecar.http_message import HttpResponse
-from balancer.sidecar.timers import OneShotTimer
+from balancer.sidecar.http.message import HttpResponse
+from balancer.sidecar.runtime.timers import OneShotTimer
 from balancer.sidecar.upstream.attempt import Attempt
 
 HEALTH_CHECK_TIMEOUT_SECONDS = 0.5
--- a/balancer/sidecar/upstream/manager.py
+++ b/balancer/sidecar/upstream/manager.py
@@ -8,11 +8,11 @@
 
 from balancer.policy_api import AttemptOutcome, EndpointHealth, EndpointId, HealthCheckCompleted
 from balancer.sidecar.configuration import SidecarConfiguration
-from balancer.sidecar.endpoint_list import DiscoveredEndpoint
-from balancer.sidecar.http_message import HttpResponse
+from balancer.sidecar.discovery.endpoint_list import DiscoveredEndpoint
+from balancer.sidecar.http.buffer_budget import BufferBudget
+from balancer.sidecar.http.message import HttpResponse
+from balancer.sidecar.http.outbound_connection import OutboundConnection
 from balancer.sidecar.upstream.attempt import STATUS_OK, Attempt, CompletionCallback
-from balancer.sidecar.upstream.buffer_budget import BufferBudget
-from balancer.sidecar.upstream.connection import UpstreamConnection
 from balancer.sidecar.upstream.health_check import HealthCheck, build_health_check_request
 from balancer.sidecar.upstream.load_report import parse_load_report
 from balancer.sidecar.upstream.pool import EndpointPool
@@ -47,7 +47,7 @@
         self._connect_timeout_seconds = config.connect_timeout_ns / SECOND_NS
         self._load_report_fields = config.settings.load_report_fields
         self._health_check_request = build_health_check_request(config.load_reports_enabled)
-        self._open_connections: set[UpstreamConnection] = set()
+        self._open_connections: set[OutboundConnection] = set()
         self._pools: dict[EndpointId, EndpointPool] = {}
         self._health_checks: set[HealthCheck] = set()
 
@@ -168,12 +168,12 @@
         longest_idle.close_longest_idle()
         return True
 
-    async def connect(self, pool: EndpointPool) -> UpstreamConnection:
+    async def connect(self, pool: EndpointPool) -> OutboundConnection:
         """Open a connection to the endpoint of this pool. Raises OSError; a timeout is one.
 
         The connection counts until it is lost, which may be before this returns, or until this fails.
         """
-        connection = UpstreamConnection(partial(self._on_connection_lost, pool), self.buffer_budget)
+        connection = OutboundConnection(partial(self._on_connection_lost, pool), self.buffer_budget)
         connection.address = pool.address
         host, port = pool.address
         self._open_connections.add(connection)
@@ -187,6 +187,6 @@
             raise
         return connection
 
-    def _on_connection_lost(self, pool: EndpointPool, connection: UpstreamConnection) -> None:
+    def _on_connection_lost(self, pool: EndpointPool, connection: OutboundConnection) -> None:
         self._open_connections.discard(connection)
         pool.discard(connection)
--- a/balancer/sidecar/upstream/pool.py
+++ b/balancer/sidecar/upstream/pool.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 from balancer.policy_api import EndpointHealth
-from balancer.sidecar.address import Address
-from balancer.sidecar.upstream.connection import UpstreamConnection
+from balancer.sidecar.http.outbound_connection import OutboundConnection
+from balancer.sidecar.runtime.address import Address
 from balancer.time_units import SECOND_NS
 
 CONNECTION_REUSE_DELAY_NS = SECOND_NS // 125
@@ -31,7 +31,7 @@
 
     def __init__(self, address: Address, health: EndpointHealth, max_idle_ns: int) -> None:
         self.address = address
-        self.idle_connections: list[UpstreamConnection] = []
+        self.idle_connections: list[OutboundConnection] = []
         self._max_idle_ns = max_idle_ns
         self._set_health(health)
 
@@ -48,7 +48,7 @@
         self._set_health(EndpointHealth.REMOVED)
         self.close_idle_connections()
 
-    def acquire(self, now_ns: int) -> UpstreamConnection | None:
+    def acquire(self, now_ns: int) -> OutboundConnection | None:
         """Take the most recently used connection whose reuse delay is over and that is still good, or None.
 
         The most recently used one goes first so that the surplus grows old and closes.
@@ -65,7 +65,7 @@
             connection.close()
         return None
 
-    def release(self, connection: UpstreamConnection, now_ns: int) -> None:
+    def release(self, connection: OutboundConnection, now_ns: int) -> None:
         """Keep a connection for the next request, or close it where it is not fit for one."""
         is_current = self.is_ready and connection.address == self.address
         if not is_current or not connection.is_reusable():
@@ -87,7 +87,7 @@
         )
         return remaining_delay_ns / SECOND_NS
 
-    def discard(self, connection: UpstreamConnection) -> None:
+    def discard(self, connection: OutboundConnection) -> None:
         """Forget a connection that is lost, if it was idle here."""
         if connection in self.idle_connections:
             self.idle_connections.remove(connection)
--- a/balancer/simulator/adapter.py
+++ b/balancer/simulator/adapter.py
@@ -28,8 +28,8 @@
         reply: list[bytes] = []
         for instance, event in self._decoder.decode(batch.records, batch.record_count):
             try:
-                for action in self._handle(instance, batch.now_ns, event):
-                    reply.append(encode_action(instance, action))
+                actions = self._handle(instance, batch.now_ns, event)
+                reply.extend(encode_action(instance, action) for action in actions)
             except Exception as failure:  # any failure of the decisions ends the day, with its cause
                 self._balancers.pop(instance, None)
                 reply.append(encode_failure(instance, f"{type(failure).__name__}: {failure}"))
--- a/benchmarks/discovery_stand_in.py
+++ b/benchmarks/discovery_stand_in.py
@@ -165,7 +165,8 @@
 def _parse_target(head: bytes) -> str:
     """Take the target out of a request line (RFC 9112, section 3)."""
     request_line, _end, _headers = head.partition(b"\r\n")
-    parts = request_line.split(b" ")
-    if len(parts) != 3:
-        raise MalformedCallError(request_line.decode("latin-1"))
-    return parts[1].decode("latin-1")
+    try:
+        _method, target, _version = request_line.split(b" ")
+    except ValueError:
+        raise MalformedCallError(request_line.decode("latin-1")) from None
+    return target.decode("latin-1")
--- a/soak/guard_trials.py
+++ b/soak/guard_trials.py
@@ -55,7 +55,7 @@
 
 
 _LEFT_BEFORE_SENDING = SourceChange(
-    "balancer/sidecar/dispatcher.py",
+    "balancer/sidecar/requests/dispatcher.py",
     "if not request.answered and request.response_sink.is_disconnected():",
     "if False:",
 )
@@ -79,7 +79,7 @@
     ),
     _single(
         "every request is answered at its deadline",
-        "balancer/sidecar/dispatcher.py",
+        "balancer/sidecar/requests/dispatcher.py",
         "self._attempts.continue_in_background(request)\n        if not request.answered:",
         "if False:",
     ),
@@ -88,7 +88,7 @@
     GuardBreak("nothing is sent for a client that left: both", (_LEFT_BEFORE_SENDING, _LEFT_BY_EVENT)),
     _single(
         "an attempt that was not sent whole is given up with its client",
-        "balancer/sidecar/dispatcher.py",
+        "balancer/sidecar/requests/dispatcher.py",
         "            request.attempt.give_up_unsent()",
         "            pass",
     ),
@@ -130,7 +130,7 @@
     ),
     _single(
         "start times follow steps of the wall clock",
-        "balancer/sidecar/start_times.py",
+        "balancer/sidecar/discovery/start_times.py",
         "if all(abs(offset_ns - known_ns) >= MIN_STEP_NS for known_ns in self._offsets_ns):",
         "if not self._offsets_ns:",
     ),
@@ -154,7 +154,7 @@
     ),
     _single(
         "an unreadable configuration is read again",
-        "balancer/sidecar/lifecycle.py",
+        "balancer/sidecar/process/lifecycle.py",
         "            if self._attempts_left:\n",
         "            if False:\n",
     ),
@@ -166,19 +166,19 @@
     ),
     _single(
         "a shutdown answers what is still in flight",
-        "balancer/sidecar/lifecycle.py",
+        "balancer/sidecar/process/lifecycle.py",
         "self._dispatcher.expire_all_within(self._exit_delay_seconds - LAST_RESPONSES_BEFORE_EXIT_SECONDS)",
         "pass",
     ),
     _single(
         "a shutdown waits for the clients",
-        "balancer/sidecar/lifecycle.py",
+        "balancer/sidecar/process/lifecycle.py",
         "            await asyncio.wait_for(self._listener.wait_until_closed(), seconds_left)",
         "            await asyncio.sleep(min(0.1, seconds_left))",
     ),
     _single(
         "a watch that is silent is given up",
-        "balancer/sidecar/discovery_client.py",
+        "balancer/sidecar/discovery/client.py",
         "timeout_seconds = hold_seconds + profile.grace_seconds",
         "timeout_seconds = 60.0",
     ),
--- a/soak/report.py
+++ b/soak/report.py
@@ -76,8 +76,10 @@
             lines.append("no invariant was broken")
             return "\n".join(lines)
         lines.append(f"broken: {self.broken()}; play again with --seed {self.seed}")
-        for violation in self.violations[:MAX_REPORTED]:
-            lines.append(f"- {violation.at:.2f} s, {violation.invariant}: {violation.message}")
+        lines += [
+            f"- {violation.at:.2f} s, {violation.invariant}: {violation.message}"
+            for violation in self.violations[:MAX_REPORTED]
+        ]
         first = self.violations[0]
         lines.append("history of the first:")
         lines += [f"    {event}" for event in _shorten(to_json(relevant_events(self.history, first)))]
--- a/tests/benchmarks/test_discovery_stand_in.py
+++ b/tests/benchmarks/test_discovery_stand_in.py
@@ -8,7 +8,7 @@
 import pytest
 
 from balancer.policy_api import EndpointHealth
-from balancer.sidecar.endpoint_list import EndpointListUpdate, NameIndices, parse_endpoint_list
+from balancer.sidecar.discovery.endpoint_list import EndpointListUpdate, NameIndices, parse_endpoint_list
 from benchmarks.discovery_stand_in import DiscoveryStandIn
 from tests.benchmarks.runner import run, run_with_discovery
 
--- a/tests/policy/test_characterization.py
+++ b/tests/policy/test_characterization.py
@@ -352,17 +352,17 @@
         entries = []
         for number, server in self.servers.items():
             if self.phase == "restart" and server.id in self.affected_endpoints:
-                server = server._replace(started_at_ns=self.now, health=EndpointHealth.READY)
+                changed = server._replace(started_at_ns=self.now, health=EndpointHealth.READY)
             elif self.phase == "drain" and server.id in self.affected_endpoints:
-                server = server._replace(
+                changed = server._replace(
                     health=self.random.choice((EndpointHealth.DRAINING, EndpointHealth.REMOVED))
                 )
             elif server.health != EndpointHealth.READY:
-                server = server._replace(started_at_ns=self.now, health=EndpointHealth.READY)
+                changed = server._replace(started_at_ns=self.now, health=EndpointHealth.READY)
             else:
                 continue
-            self.servers[number] = server
-            entries.append(server)
+            self.servers[number] = changed
+            entries.append(changed)
         if not self.settings.polls_discovery:
             for instance in self.instances:
                 self.update_endpoints(instance, entries)
--- a/tests/sidecar/scripted_discovery.py
+++ b/tests/sidecar/discovery/scripted_discovery.py
@@ -13,8 +13,8 @@
 import pytest
 
 from balancer.policy_api import EndpointHealth, EndpointUpdate, EndpointUpdateKind, Event
-from balancer.sidecar.discovery_call import DiscoveryCaller, DiscoveryCallError
-from balancer.sidecar.endpoint_list import EndpointListUpdate
+from balancer.sidecar.discovery.call import DiscoveryCaller, DiscoveryCallError
+from balancer.sidecar.discovery.endpoint_list import EndpointListUpdate
 from tests.sidecar.harness import SETTINGS, TEST_TIMEOUT_SECONDS, endpoint_entry, ok_response
 
 AnswerScript: TypeAlias = Callable[[asyncio.StreamWriter], Awaitable[None]]
--- a/tests/sidecar/test_discovery_call.py
+++ b/tests/sidecar/discovery/test_call.py
@@ -10,9 +10,17 @@
 
 from balancer.errors import DiscoveryError
 from balancer.policy_api import EndpointUpdateKind
-from balancer.sidecar import discovery_profile
-from balancer.sidecar.discovery_call import DiscoveryCaller, DiscoveryCallError
-from balancer.sidecar.endpoint_list import NameIndices
+from balancer.sidecar.discovery import profile as discovery_profile
+from balancer.sidecar.discovery.call import DiscoveryCaller, DiscoveryCallError
+from balancer.sidecar.discovery.endpoint_list import NameIndices
+from tests.sidecar.discovery.scripted_discovery import (
+    DRAIN_UPDATE,
+    CallRecorder,
+    RecordedCall,
+    discovery_settings,
+    is_drain_update,
+    is_update_of,
+)
 from tests.sidecar.harness import (
     TEST_TIMEOUT_SECONDS,
     endpoint_entry,
@@ -21,14 +29,6 @@
     run_sidecar,
     unreachable_address,
 )
-from tests.sidecar.scripted_discovery import (
-    DRAIN_UPDATE,
-    CallRecorder,
-    RecordedCall,
-    discovery_settings,
-    is_drain_update,
-    is_update_of,
-)
 
 
 class SnapshotServer:
--- a/tests/sidecar/test_discovery_client.py
+++ b/tests/sidecar/discovery/test_client.py
@@ -12,27 +12,15 @@
 
 from balancer.policy import membership
 from balancer.policy_api import EndpointUpdateKind
-from balancer.sidecar.discovery_call import (
+from balancer.sidecar.discovery.call import (
     DiscoveryCallError,
     DiscoveryTimeoutError,
     MalformedDiscoveryResponseError,
 )
-from balancer.sidecar.discovery_profile import POLLED_DISCOVERY, PUSHED_DISCOVERY
-from balancer.sidecar.endpoint_list import EndpointListUpdate
+from balancer.sidecar.discovery.endpoint_list import EndpointListUpdate
+from balancer.sidecar.discovery.profile import POLLED_DISCOVERY, PUSHED_DISCOVERY
 from balancer.time_units import SECOND_NS
-from tests.sidecar.harness import (
-    ReceivedRequest,
-    Sidecar,
-    endpoint_entry,
-    never_answer,
-    ok_response,
-    run,
-    run_endpoint,
-    run_sidecar,
-    status_response,
-    unreachable_address,
-)
-from tests.sidecar.scripted_discovery import (
+from tests.sidecar.discovery.scripted_discovery import (
     DISCOVERY_FAILED,
     DRAIN_UPDATE,
     INCOMPLETE_RESPONSE,
@@ -49,6 +37,18 @@
     send_without_end,
     unreachable,
 )
+from tests.sidecar.harness import (
+    ReceivedRequest,
+    Sidecar,
+    endpoint_entry,
+    never_answer,
+    ok_response,
+    run,
+    run_endpoint,
+    run_sidecar,
+    status_response,
+    unreachable_address,
+)
 from tests.sidecar.waiting import run_ready_callbacks, wait_until
 
 pushed_and_polled = pytest.mark.parametrize("polled", [False, True], ids=["pushed", "polled"])
--- a/tests/sidecar/test_discovery_over_sockets.py
+++ b/tests/sidecar/discovery/test_discovery_over_sockets.py
@@ -12,7 +12,7 @@
 import pytest
 
 from balancer.policy_api import EndpointHealth, EndpointUpdate, EndpointUpdateKind, Event
-from balancer.sidecar.endpoint_list import NameIndices, derive_endpoint_id, parse_endpoint_list
+from balancer.sidecar.discovery.endpoint_list import NameIndices, derive_endpoint_id, parse_endpoint_list
 from tests.sidecar.harness import (
     TEST_TIMEOUT_SECONDS,
     ReceivedRequest,
--- a/tests/sidecar/test_endpoint_list.py
+++ b/tests/sidecar/discovery/test_endpoint_list.py
@@ -11,7 +11,7 @@
 from balancer.errors import ProtocolError
 from balancer.policy_api import Endpoint, EndpointHealth
 from balancer.sidecar.configuration import parse_configuration
-from balancer.sidecar.endpoint_list import (
+from balancer.sidecar.discovery.endpoint_list import (
     DiscoveredEndpoint,
     MalformedEndpointListError,
     NameIndices,
--- a/tests/sidecar/test_discovery_profile.py
+++ b/tests/sidecar/discovery/test_profile.py
@@ -7,12 +7,12 @@
 from balancer.policy import membership, overload
 from balancer.policy.balancer import Balancer
 from balancer.policy_api import WatchEndpoints
-from balancer.sidecar import discovery_profile
-from balancer.sidecar.discovery_profile import POLLED_DISCOVERY, PUSHED_DISCOVERY
+from balancer.sidecar.discovery import profile as discovery_profile
+from balancer.sidecar.discovery.profile import POLLED_DISCOVERY, PUSHED_DISCOVERY
 from balancer.time_units import SECOND_NS
 from tests.builders import settings as policy_settings
 from tests.policy.harness import BalancerHarness
-from tests.sidecar.scripted_discovery import DISCOVERY_FAILED
+from tests.sidecar.discovery.scripted_discovery import DISCOVERY_FAILED
 
 KNOWN_AFTER_SECONDS = 6.0  # since discovery can be reached; then a change counts as known
 KNOWN_AFTER_ADDRESS_CHANGE_SECONDS = 4.0
--- a/tests/sidecar/test_discovery_retry.py
+++ b/tests/sidecar/discovery/test_retry.py
@@ -6,13 +6,13 @@
 
 import pytest
 
-from balancer.sidecar.discovery_call import (
+from balancer.sidecar.discovery.call import (
     DiscoveryCallError,
     DiscoveryTimeoutError,
     MalformedDiscoveryResponseError,
 )
-from balancer.sidecar.discovery_profile import POLLED_DISCOVERY, PUSHED_DISCOVERY, DiscoveryProfile
-from balancer.sidecar.discovery_retry import Backoff, WatchRetryPolicy
+from balancer.sidecar.discovery.profile import POLLED_DISCOVERY, PUSHED_DISCOVERY, DiscoveryProfile
+from balancer.sidecar.discovery.retry import Backoff, WatchRetryPolicy
 
 ADDRESS = ("127.0.0.1", 9)
 FAILURE = DiscoveryCallError(ADDRESS, "a test")
--- a/tests/sidecar/test_wall_clock_steps.py
+++ b/tests/sidecar/discovery/test_wall_clock_steps.py
@@ -9,10 +9,10 @@
 import pytest
 
 from balancer.policy_api import Action, EndpointUpdate, EndpointUpdateKind, Event
-from balancer.sidecar.clock import Clock
 from balancer.sidecar.configuration import parse_configuration
-from balancer.sidecar.dispatcher import Dispatcher
-from balancer.sidecar.endpoint_list import parse_endpoint_list
+from balancer.sidecar.discovery.endpoint_list import parse_endpoint_list
+from balancer.sidecar.requests.dispatcher import Dispatcher
+from balancer.sidecar.runtime.clock import Clock
 from balancer.time_units import MILLISECOND_NS, SECOND_NS
 from tests.sidecar.harness import async_test, configuration, endpoint_entry, endpoint_list
 
--- a/tests/sidecar/downstream/test_acceptor.py
+++ b/tests/sidecar/downstream/test_acceptor.py
@@ -10,7 +10,7 @@
 import pytest
 
 from balancer.sidecar.downstream.acceptor import Acceptor, open_listening_socket
-from balancer.sidecar.metrics import Metric, Metrics
+from balancer.sidecar.runtime.metrics import Metric, Metrics
 from tests.sidecar.harness import async_test
 
 
--- a/tests/sidecar/downstream/test_client_disconnect.py
+++ b/tests/sidecar/downstream/test_client_disconnect.py
@@ -12,7 +12,7 @@
 from balancer.policy_api import Action, AttemptCompleted, AttemptOutcome, ClientDisconnected, Event
 from balancer.sidecar.downstream.connection import DownstreamConnection
 from balancer.sidecar.downstream.exchange import MAX_PIPELINED_REQUESTS
-from balancer.sidecar.upstream.connection import UpstreamConnection
+from balancer.sidecar.http.outbound_connection import OutboundConnection
 from balancer.sidecar.upstream.pool import EndpointPool
 from tests.sidecar.downstream.harness import (
     CLOSE_HEADER,
@@ -105,7 +105,7 @@
         connected_count = 0
         connections_released = asyncio.Event()
 
-        async def connect_and_disconnect_client(pool: EndpointPool) -> UpstreamConnection:
+        async def connect_and_disconnect_client(pool: EndpointPool) -> OutboundConnection:
             nonlocal connected_count
             connection = await connect(pool)
             connected_count += 1
--- a/tests/sidecar/downstream/test_request_validator.py
+++ b/tests/sidecar/downstream/test_request_validator.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from balancer.sidecar.http_request import HttpRequestError
-from balancer.sidecar.request_validator import parse_deadline_ns, parse_work_hint_ns
+from balancer.sidecar.downstream.request_validator import parse_deadline_ns, parse_work_hint_ns
+from balancer.sidecar.http.request import HttpRequestError
 from tests.sidecar.downstream.harness import check_rejection
 from tests.sidecar.harness import answer_ok, async_test, request_bytes, run_endpoint, run_sidecar
 
--- a/tests/sidecar/harness.py
+++ b/tests/sidecar/harness.py
@@ -23,14 +23,14 @@
     EndpointUpdateKind,
     Event,
 )
-from balancer.sidecar.clock import Clock
 from balancer.sidecar.configuration import parse_configuration
-from balancer.sidecar.discovery_client import DiscoveryClient
-from balancer.sidecar.dispatcher import Dispatcher
+from balancer.sidecar.discovery.client import DiscoveryClient
+from balancer.sidecar.discovery.endpoint_list import parse_endpoint_list
 from balancer.sidecar.downstream.connection import DownstreamConnection
 from balancer.sidecar.downstream.listener import Listener
 from balancer.sidecar.downstream.timeouts import DEFAULT_TIMEOUTS, DownstreamTimeouts
-from balancer.sidecar.endpoint_list import parse_endpoint_list
+from balancer.sidecar.requests.dispatcher import Dispatcher
+from balancer.sidecar.runtime.clock import Clock
 
 Script: TypeAlias = Callable[["ReceivedRequest"], Awaitable[bytes | None]]
 """Returns the response to a request as it goes on the wire; None closes the connection without one."""
@@ -323,7 +323,8 @@
         self.balancer = Balancer(self.config.settings, self.config.seed)
         self.dispatcher = Dispatcher(self.config, dispatcher_loop or loop, clock or Clock(), policy=self)
         self.listener = Listener(self.config, self.dispatcher, loop, self.timeouts)
-        self.discovery = DiscoveryClient(self.config, self.dispatcher, loop)
+        self.discovery = DiscoveryClient(self.config.discovery_client(), self.dispatcher, loop)
+        self.dispatcher.attach_discovery(self.discovery)
         self.dispatcher.start(self.config.known_endpoints)
         self.server = await loop.create_server(self._accept_client, "127.0.0.1", 0)
         self.port = self.server.sockets[0].getsockname()[1]
--- /dev/null
+++ b/tests/sidecar/http/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of `balancer.sidecar.http`."""
--- a/tests/sidecar/upstream/test_connection.py
+++ b/tests/sidecar/http/test_outbound_connection.py
@@ -10,9 +10,9 @@
 import pytest
 
 from balancer.policy_api import AttemptOutcome
-from balancer.sidecar.http_message import HttpResponse
+from balancer.sidecar.http.message import HttpResponse
+from balancer.sidecar.http.outbound_connection import OutboundConnection
 from balancer.sidecar.upstream.attempt import outcome_of_response
-from balancer.sidecar.upstream.connection import UpstreamConnection
 from tests.sidecar.harness import (
     TEST_TIMEOUT_SECONDS,
     answer_ok,
@@ -29,11 +29,11 @@
 
 
 @contextlib.asynccontextmanager
-async def connected() -> AsyncIterator[tuple[UpstreamConnection, socket.socket]]:
+async def connected() -> AsyncIterator[tuple[OutboundConnection, socket.socket]]:
     """A connection, and the socket of its peer, on which a test acts at once."""
     with socket.create_server(("127.0.0.1", 0)) as server:
         loop = asyncio.get_running_loop()
-        _, connection = await loop.create_connection(UpstreamConnection, *server.getsockname())
+        _, connection = await loop.create_connection(OutboundConnection, *server.getsockname())
         peer, _ = server.accept()
         peer.settimeout(TEST_TIMEOUT_SECONDS)
         with peer:
@@ -44,14 +44,17 @@
 class PendingExchange:
     """A connection with a request in flight, and the socket of its peer, which has received the request."""
 
-    def __init__(self, connection: UpstreamConnection, peer: socket.socket) -> None:
+    def __init__(self, connection: OutboundConnection, peer: socket.socket) -> None:
         self.connection = connection
         self.peer = peer
         self.response: asyncio.Future[HttpResponse | None] = asyncio.get_running_loop().create_future()
         self.on_response: Callable[[HttpResponse | None], None] = self.response.set_result
-        assert connection.send(REQUEST, lambda response: self.on_response(response))
+        assert connection.send(REQUEST, self._handle_response)
         assert peer.recv(100) == REQUEST
 
+    def _handle_response(self, response: HttpResponse | None) -> None:
+        self.on_response(response)  # as the test has set it by then
+
 
 @contextlib.asynccontextmanager
 async def pending_exchange() -> AsyncIterator[PendingExchange]:
--- a/tests/sidecar/downstream/test_http_request.py
+++ b/tests/sidecar/http/test_request.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from balancer.sidecar.http_message import MAX_HEAD_BYTES
-from balancer.sidecar.http_request import parse_request_head
+from balancer.sidecar.http.message import MAX_HEAD_BYTES
+from balancer.sidecar.http.request import parse_request_head
 from tests.sidecar.downstream.harness import MALFORMED_REQUEST, check_rejection
 from tests.sidecar.harness import async_test, request_bytes
 
--- a/tests/sidecar/upstream/test_response_parser.py
+++ b/tests/sidecar/http/test_response_parser.py
@@ -5,9 +5,9 @@
 import httptools
 import pytest
 
-from balancer.sidecar.http_message import MAX_HEAD_BYTES, HttpResponse
-from balancer.sidecar.upstream.buffer_budget import BufferBudget
-from balancer.sidecar.upstream.response_parser import (
+from balancer.sidecar.http.buffer_budget import BufferBudget
+from balancer.sidecar.http.message import MAX_HEAD_BYTES, HttpResponse
+from balancer.sidecar.http.response_parser import (
     AmbiguousLengthError,
     BufferBudgetExceededError,
     MalformedResponseError,
--- a/tests/sidecar/manual_time.py
+++ b/tests/sidecar/manual_time.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from typing import Any, cast
 
-from balancer.sidecar.clock import Clock
+from balancer.sidecar.runtime.clock import Clock
 from balancer.time_units import SECOND_NS
 
 START_NS = 1_000_000 * SECOND_NS
--- a/tests/sidecar/test_attempt_guard.py
+++ b/tests/sidecar/requests/test_attempt_guard.py
@@ -17,11 +17,11 @@
     RequestClass,
     Settings,
 )
-from balancer.sidecar.attempt_guard import HELD_UP_NS, AttemptGuard, AttemptRefusal
-from balancer.sidecar.client_request import ClientRequest, ResponseSink
-from balancer.sidecar.metrics import Invariant, Metric, Metrics
-from balancer.sidecar.request_ledger import InFlightRequest
-from balancer.sidecar.timers import OneShotTimer
+from balancer.sidecar.requests.attempt_guard import HELD_UP_NS, AttemptGuard, AttemptRefusal
+from balancer.sidecar.requests.client_request import ClientRequest, ResponseSink
+from balancer.sidecar.requests.ledger import InFlightRequest
+from balancer.sidecar.runtime.metrics import Invariant, Metric, Metrics
+from balancer.sidecar.runtime.timers import OneShotTimer
 from balancer.sidecar.upstream.attempt import Attempt
 from balancer.time_units import SECOND_NS
 from tests.sidecar.harness import async_test
--- a/tests/sidecar/test_dispatcher.py
+++ b/tests/sidecar/requests/test_dispatcher.py
@@ -21,8 +21,8 @@
     StartAttempt,
     TimerFired,
 )
-from balancer.sidecar.endpoint_list import derive_endpoint_id
-from balancer.sidecar.metrics import Invariant, Metric
+from balancer.sidecar.discovery.endpoint_list import derive_endpoint_id
+from balancer.sidecar.runtime.metrics import Invariant, Metric
 from balancer.time_units import MILLISECOND_NS, SECOND_NS
 from tests.sidecar.harness import (
     ReceivedRequest,
--- a/tests/sidecar/test_metrics.py
+++ b/tests/sidecar/runtime/test_metrics.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from balancer.sidecar.metrics import MAX_LOGGED_VIOLATIONS, Invariant, Metric, Metrics
+from balancer.sidecar.runtime.metrics import MAX_LOGGED_VIOLATIONS, Invariant, Metric, Metrics
 
 
 def test_counters_are_one_line_of_json() -> None:
--- a/tests/sidecar/upstream/harness.py
+++ b/tests/sidecar/upstream/harness.py
@@ -12,9 +12,9 @@
 import pytest
 
 from balancer.policy_api import EndpointUpdateKind
-from balancer.sidecar.endpoint_list import derive_endpoint_id
+from balancer.sidecar.discovery.endpoint_list import derive_endpoint_id
+from balancer.sidecar.http.outbound_connection import OutboundConnection
 from balancer.sidecar.upstream.attempt import Attempt, CompletionCallback
-from balancer.sidecar.upstream.connection import UpstreamConnection
 from balancer.sidecar.upstream.manager import UpstreamManager
 from balancer.sidecar.upstream.pool import EndpointPool
 from tests.sidecar.harness import (
@@ -114,7 +114,7 @@
         self._connect = sidecar.dispatcher.upstream.connect
         sidecar.dispatcher.upstream.connect = self._connect_when_opened  # type: ignore[method-assign]
 
-    async def _connect_when_opened(self, pool: EndpointPool) -> UpstreamConnection:
+    async def _connect_when_opened(self, pool: EndpointPool) -> OutboundConnection:
         connection = await self._connect(pool) if self._holds_established else None
         self.connect_count += 1
         self.reached.set()
--- a/tests/sidecar/upstream/test_attempt.py
+++ b/tests/sidecar/upstream/test_attempt.py
@@ -14,10 +14,10 @@
 import pytest
 
 from balancer.policy_api import AttemptCompleted, AttemptOutcome, ClientDisconnected, RequestReceived
-from balancer.sidecar.endpoint_list import derive_endpoint_id
-from balancer.sidecar.http_message import MAX_HEAD_BYTES, MAX_RESPONSE_BODY_BYTES, HttpResponse
+from balancer.sidecar.discovery.endpoint_list import derive_endpoint_id
+from balancer.sidecar.http.message import MAX_HEAD_BYTES, MAX_RESPONSE_BODY_BYTES, HttpResponse
+from balancer.sidecar.http.outbound_connection import OutboundConnection
 from balancer.sidecar.upstream.attempt import AttemptState
-from balancer.sidecar.upstream.connection import UpstreamConnection
 from balancer.sidecar.upstream.manager import UpstreamManager
 from balancer.sidecar.upstream.pool import CONNECTION_REUSE_DELAY_NS, EndpointPool
 from balancer.time_units import SECOND_NS
@@ -129,7 +129,7 @@
         upstream = sidecar.dispatcher.upstream
         connect, failures = upstream.connect, [OSError(number, "short")] * 2
 
-        async def fail_at_first(pool: EndpointPool) -> UpstreamConnection:
+        async def fail_at_first(pool: EndpointPool) -> OutboundConnection:
             if failures:
                 raise failures.pop()
             return await connect(pool)
@@ -514,7 +514,7 @@
     """Give each new connection a small send buffer, so that a long request is sent in part."""
     connect = upstream.connect
 
-    async def connect_narrow(pool: EndpointPool) -> UpstreamConnection:
+    async def connect_narrow(pool: EndpointPool) -> OutboundConnection:
         connection = await connect(pool)
         assert connection.transport is not None
         connected_socket = connection.transport.get_extra_info("socket")
--- a/tests/sidecar/upstream/test_health_check.py
+++ b/tests/sidecar/upstream/test_health_check.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 from balancer.policy_api import AttemptOutcome, Event, HealthCheckCompleted, StartHealthCheck
-from balancer.sidecar.endpoint_list import derive_endpoint_id
+from balancer.sidecar.discovery.endpoint_list import derive_endpoint_id
 from tests.sidecar.harness import (
     ReceivedRequest,
     async_test,
--- a/tests/sidecar/upstream/test_manager.py
+++ b/tests/sidecar/upstream/test_manager.py
@@ -4,17 +4,17 @@
 
 import asyncio
 import contextlib
-import os
 import socket
 from collections.abc import Callable, Iterator
+from pathlib import Path
 from typing import Any, cast
 
 import pytest
 
 from balancer.policy_api import AttemptOutcome, EndpointUpdateKind
 from balancer.sidecar.configuration import parse_configuration
-from balancer.sidecar.http_message import MAX_RESPONSE_BODY_BYTES, HttpResponse
-from balancer.sidecar.upstream.connection import UpstreamConnection
+from balancer.sidecar.http.message import MAX_RESPONSE_BODY_BYTES, HttpResponse
+from balancer.sidecar.http.outbound_connection import OutboundConnection
 from balancer.sidecar.upstream.manager import UpstreamManager
 from balancer.time_units import SECOND_NS
 from tests.sidecar.harness import (
@@ -48,8 +48,8 @@
         self._loop = asyncio.get_running_loop()
 
     async def create_connection(
-        self, factory: Callable[[], UpstreamConnection], *address: Any
-    ) -> tuple[asyncio.BaseTransport, UpstreamConnection]:
+        self, factory: Callable[[], OutboundConnection], *address: Any
+    ) -> tuple[asyncio.BaseTransport, OutboundConnection]:
         """Make a connection, and return once it is lost."""
         transport, connection = await self._loop.create_connection(factory, *address)
         transport.abort()
@@ -78,13 +78,13 @@
         self._loop = asyncio.get_running_loop()
 
     async def create_connection(
-        self, factory: Callable[[], UpstreamConnection], *address: Any
-    ) -> tuple[asyncio.BaseTransport, UpstreamConnection]:
+        self, factory: Callable[[], OutboundConnection], *address: Any
+    ) -> tuple[asyncio.BaseTransport, OutboundConnection]:
         """Make a connection for a task that is cancelled as soon as its protocol knows of it."""
         waiting_task = asyncio.current_task()
         assert waiting_task is not None
 
-        def make_connection() -> UpstreamConnection:
+        def make_connection() -> OutboundConnection:
             connection = factory()
             take_transport = connection.connection_made
 
@@ -177,7 +177,7 @@
 
 def count_open_descriptors() -> int:
     """Return how many file descriptors this process has open."""
-    return len(os.listdir("/proc/self/fd"))
+    return sum(1 for _ in Path("/proc/self/fd").iterdir())
 
 
 @contextlib.contextmanager
--- a/tests/test_example.py
+++ b/tests/test_example.py
@@ -8,8 +8,8 @@
 from pathlib import Path
 
 from balancer.sidecar.configuration import SidecarConfiguration, load_configuration
-from balancer.sidecar.http_request import parse_request_head
-from balancer.sidecar.request_validator import RequestValidator
+from balancer.sidecar.downstream.request_validator import RequestValidator
+from balancer.sidecar.http.request import parse_request_head
 
 EXAMPLE = Path(__file__).parent.parent / "deploy" / "example"
 
