--- a/soak/syscall_faults.c
+++ b/soak/syscall_faults.c
@@ -1,8 +1,8 @@
 /* System calls that fail as Linux documents, and a wall clock that can be stepped, for one process.
  *
- * Loaded with LD_PRELOAD. The file that SYSCALL_FAULTS_CONTROL names is mapped and says what fails; soak/syscall_faults.py
- * has the same layout and changes it while the process runs. A failure is taken from its counter by the call that
- * fails, so that a test injects an exact number of them. Monotonic clocks are left alone.
+ * Loaded with LD_PRELOAD. The file that SYSCALL_FAULTS_CONTROL names is mapped and says what fails; syscall_faults.py
+ * has the same layout and changes it while the process runs. The call that fails takes the failure from its counter,
+ * so that an exact number of failures is injected. Monotonic clocks are left alone.
  */
 #define _GNU_SOURCE
 #include <dlfcn.h>
@@ -20,6 +20,7 @@
 #include <unistd.h>
 
 #define NANOSECONDS_PER_SECOND 1000000000LL
+#define NANOSECONDS_PER_MICROSECOND 1000
 
 struct fault {
     int64_t error;     /* the errno of the calls that fail */
@@ -53,7 +54,8 @@
     close(descriptor);
 }
 
-#define REAL(name)                                                  \
+/* Declares `real`: the function of this name that the library stands in front of. */
+#define DECLARE_REAL(name)                                          \
     static __typeof__(&name) real;                                  \
     if (real == NULL)                                               \
         real = (__typeof__(&name))dlsym(RTLD_NEXT, #name)
@@ -62,7 +64,7 @@
 
 static void count_injected(void) { __atomic_add_fetch(&control->injected_count, 1, __ATOMIC_RELAXED); }
 
-/* Whether this call fails; then errno is set. */
+/* Returns whether this call fails; then errno is set. */
 static int fails(struct fault *fault)
 {
     if (load(&fault->remaining) <= 0)
@@ -76,6 +78,7 @@
     return 1;
 }
 
+/* Returns whether this call is interrupted; then errno is set. */
 static int is_interrupted(void)
 {
     int64_t every = load(&control->interrupt_every);
@@ -86,17 +89,18 @@
     return 1;
 }
 
+/* Returns whether a descriptor is a stream socket; errno is kept. */
 static int is_socket(int descriptor)
 {
     int type;
     socklen_t length = sizeof type;
     int saved_error = errno;
-    int is_one = getsockopt(descriptor, SOL_SOCKET, SO_TYPE, &type, &length) == 0;
+    int has_type = getsockopt(descriptor, SOL_SOCKET, SO_TYPE, &type, &length) == 0;
     errno = saved_error;
-    return is_one && type == SOCK_STREAM;
+    return has_type && type == SOCK_STREAM;
 }
 
-/* The bytes that a call on a socket may move; the limit counts as injected only where it binds. */
+/* Returns the bytes that a call on a socket may move; the limit counts as injected only where it applies. */
 static size_t limited(int descriptor, size_t size, int64_t limit)
 {
     if (limit <= 0 || size <= (size_t)limit || !is_socket(descriptor))
@@ -109,7 +113,7 @@
 
 int clock_gettime(clockid_t clock, struct timespec *time)
 {
-    REAL(clock_gettime);
+    DECLARE_REAL(clock_gettime);
     int result = real(clock, time);
     int64_t offset = load(&control->wall_clock_offset_ns);
     if (result == 0 && offset != 0 && (clock == CLOCK_REALTIME || clock == CLOCK_REALTIME_COARSE)) {
@@ -127,7 +131,7 @@
     if (clock_gettime(CLOCK_REALTIME, &now) != 0)
         return -1;
     time->tv_sec = now.tv_sec;
-    time->tv_usec = now.tv_nsec / 1000;
+    time->tv_usec = now.tv_nsec / NANOSECONDS_PER_MICROSECOND;
     return 0;
 }
 
@@ -142,25 +146,23 @@
 
 /* ---- calls that fail */
 
+static int accept_fails(void) { return is_interrupted() || fails(&control->accept); }
+
 int accept4(int descriptor, struct sockaddr *address, socklen_t *length, int flags)
 {
-    REAL(accept4);
-    if (is_interrupted() || fails(&control->accept))
-        return -1;
-    return real(descriptor, address, length, flags);
+    DECLARE_REAL(accept4);
+    return accept_fails() ? -1 : real(descriptor, address, length, flags);
 }
 
 int accept(int descriptor, struct sockaddr *address, socklen_t *length)
 {
-    REAL(accept);
-    if (is_interrupted() || fails(&control->accept))
-        return -1;
-    return real(descriptor, address, length);
+    DECLARE_REAL(accept);
+    return accept_fails() ? -1 : real(descriptor, address, length);
 }
 
 int socket(int domain, int type, int protocol)
 {
-    REAL(socket);
+    DECLARE_REAL(socket);
     if (fails(&control->socket))
         return -1;
     return real(domain, type, protocol);
@@ -168,44 +170,35 @@
 
 int connect(int descriptor, const struct sockaddr *address, socklen_t length)
 {
-    REAL(connect);
+    DECLARE_REAL(connect);
     if (fails(&control->connect))
         return -1;
     return real(descriptor, address, length);
 }
 
-/* Only files with this in their name: an interpreter that cannot read its own modules tells nothing. */
-static int is_configuration(const char *path) { return strstr(path, "config.json") != NULL; }
+/* Only the configuration fails to open: an interpreter that cannot read its own modules says nothing of the sidecar. */
+static int open_fails(const char *path) { return strstr(path, "config.json") != NULL && fails(&control->open); }
 
-int open(const char *path, int flags, ...)
-{
-    REAL(open);
-    va_list arguments;
-    va_start(arguments, flags);
-    mode_t mode = (flags & (O_CREAT | O_TMPFILE)) ? va_arg(arguments, mode_t) : 0;
-    va_end(arguments);
-    if (is_configuration(path) && fails(&control->open))
-        return -1;
-    return real(path, flags, mode);
-}
+/* open and open64 differ in their names alone. */
+#define DEFINE_OPEN(name)                                                                  \
+    int name(const char *path, int flags, ...)                                             \
+    {                                                                                      \
+        DECLARE_REAL(name);                                                                \
+        va_list arguments;                                                                 \
+        va_start(arguments, flags);                                                        \
+        mode_t mode = (flags & (O_CREAT | O_TMPFILE)) ? va_arg(arguments, mode_t) : 0;     \
+        va_end(arguments);                                                                 \
+        return open_fails(path) ? -1 : real(path, flags, mode);                            \
+    }
 
-int open64(const char *path, int flags, ...)
-{
-    REAL(open64);
-    va_list arguments;
-    va_start(arguments, flags);
-    mode_t mode = (flags & (O_CREAT | O_TMPFILE)) ? va_arg(arguments, mode_t) : 0;
-    va_end(arguments);
-    if (is_configuration(path) && fails(&control->open))
-        return -1;
-    return real(path, flags, mode);
-}
+DEFINE_OPEN(open)
+DEFINE_OPEN(open64)
 
 /* ---- reads and writes that are short or interrupted */
 
 ssize_t read(int descriptor, void *buffer, size_t size)
 {
-    REAL(read);
+    DECLARE_REAL(read);
     if (is_interrupted())
         return -1;
     return real(descriptor, buffer, limited(descriptor, size, load(&control->max_read_bytes)));
@@ -213,7 +206,7 @@
 
 ssize_t recv(int descriptor, void *buffer, size_t size, int flags)
 {
-    REAL(recv);
+    DECLARE_REAL(recv);
     if (is_interrupted())
         return -1;
     return real(descriptor, buffer, limited(descriptor, size, load(&control->max_read_bytes)), flags);
@@ -221,7 +214,7 @@
 
 ssize_t write(int descriptor, const void *buffer, size_t size)
 {
-    REAL(write);
+    DECLARE_REAL(write);
     if (is_interrupted())
         return -1;
     return real(descriptor, buffer, limited(descriptor, size, load(&control->max_write_bytes)));
@@ -229,7 +222,7 @@
 
 ssize_t send(int descriptor, const void *buffer, size_t size, int flags)
 {
-    REAL(send);
+    DECLARE_REAL(send);
     if (is_interrupted())
         return -1;
     return real(descriptor, buffer, limited(descriptor, size, load(&control->max_write_bytes)), flags);
@@ -237,7 +230,7 @@
 
 ssize_t writev(int descriptor, const struct iovec *parts, int count)
 {
-    REAL(writev);
+    DECLARE_REAL(writev);
     if (is_interrupted())
         return -1;
     int64_t limit = load(&control->max_write_bytes);
