--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -1,7 +1,4 @@
-"""The command line of the soak: `python -m soak --seed N --seconds S --json FILE`.
-
-Exit status 0: no invariant was broken; 1: one was; 2: the soak itself could not run.
-"""
+"""The command line of the soak: `python -m soak --seed N --seconds S --json FILE`."""
 
 from __future__ import annotations
 
@@ -13,31 +10,43 @@
 
 import uvloop
 
+from soak.command_line import ExitStatus, PlainArgumentParser, seconds_between
 from soak.errors import SoakError
 from soak.report import SoakReport
 from soak.runner import MAX_SECONDS, MIN_SECONDS, run_soak
 
-EXIT_BROKEN = 1
-EXIT_ERROR = 2
-
-
-def _seconds(text: str) -> float:
-    try:
-        seconds = float(text)
-    except ValueError:
-        seconds = 0.0
-    if not MIN_SECONDS <= seconds <= MAX_SECONDS:
-        raise argparse.ArgumentTypeError(f"{text!r} is not a number from {MIN_SECONDS:g} to {MAX_SECONDS:g}")
-    return seconds
+DEFAULT_SEED = 1
+DEFAULT_SECONDS = 32.0
+"""Seconds; about 15 of them with faults."""
+DESCRIPTION = """\
+Run 10 to 18 sidecar processes on loopback, between clients and account servers, under overlapping faults that
+are drawn from a seed: signals, failing system calls, a faulty network, misbehaving account servers, clients
+and discovery. The recorded history is judged by invariants. It runs in real time: the same seed gives the
+same plan, not the same history. It needs a C compiler, for the library that makes system calls fail.
+"""
+EPILOG = """\
+Exit status: 0 if no invariant was broken, 1 if one was, 2 if the arguments are wrong or the soak could not
+run.
+"""
 
 
 def _parse(arguments: Sequence[str] | None) -> argparse.Namespace:
-    parser = argparse.ArgumentParser(prog="soak", description="Run sidecars under overlapping faults.")
-    parser.add_argument("--seed", type=int, default=1, help="what deployment, load and faults are drawn from")
-    parser.add_argument("--seconds", type=_seconds, default=32.0, help="length of the soak, real time")
-    parser.add_argument("--json", type=Path, metavar="FILE", help="write the report here as JSON")
+    parser = PlainArgumentParser(prog="python -m soak", description=DESCRIPTION, epilog=EPILOG)
+    parser.add_argument(
+        "--seed",
+        type=int,
+        default=DEFAULT_SEED,
+        help="what the deployment, the load and the faults are drawn from (default: %(default)s)",
+    )
+    parser.add_argument(
+        "--seconds",
+        type=seconds_between(MIN_SECONDS, MAX_SECONDS),
+        default=DEFAULT_SECONDS,
+        help=f"length of the soak, from {MIN_SECONDS:g} to {MAX_SECONDS:g} (default: %(default)g)",
+    )
+    parser.add_argument("--json", type=Path, metavar="FILE", help="write the report to this file as JSON")
     parser.add_argument(
-        "--keep", type=Path, metavar="DIR", help="keep configurations and logs in this folder"
+        "--keep", type=Path, metavar="DIR", help="keep the configurations and logs in this directory"
     )
     return parser.parse_args(arguments)
 
@@ -51,9 +60,9 @@
         if options.json is not None:
             options.json.write_text(json.dumps(report.to_json(), indent=1) + "\n")
     except (SoakError, OSError) as error:
-        print(f"soak: {error}", file=sys.stderr)
-        return EXIT_ERROR
-    return EXIT_BROKEN if report.violations else 0
+        print(f"python -m soak: {error}", file=sys.stderr)
+        return ExitStatus.ERROR
+    return ExitStatus.FINDING if report.violations else ExitStatus.OK
 
 
 if __name__ == "__main__":
--- /dev/null
+++ b/soak/command_line.py
@@ -0,0 +1,54 @@
+"""What the command lines of this package share: one plain line and status 2 for bad input."""
+
+from __future__ import annotations
+
+import argparse
+import sys
+from collections.abc import Callable
+from enum import IntEnum
+from typing import NoReturn
+
+
+class ExitStatus(IntEnum):
+    """The exit statuses."""
+
+    OK = 0
+    FINDING = 1
+    """An invariant was broken, or a mutant survived."""
+    ERROR = 2
+    """The arguments are wrong, or the soak itself could not run."""
+
+
+class PlainArgumentParser(argparse.ArgumentParser):
+    """An argument parser that reports an error as one line, without the usage."""
+
+    def error(self, message: str) -> NoReturn:
+        """Print the error and exit."""
+        print(f"{self.prog}: {message}; --help lists the arguments", file=sys.stderr)
+        sys.exit(ExitStatus.ERROR)
+
+
+def seconds_between(low: float, high: float) -> Callable[[str], float]:
+    """Return a parser of an argument that is a number of seconds in a range."""
+
+    def parse(text: str) -> float:
+        try:
+            seconds = float(text)
+        except ValueError:
+            seconds = float("nan")
+        if not low <= seconds <= high:
+            raise argparse.ArgumentTypeError(f"{text!r} is not a number of seconds from {low:g} to {high:g}")
+        return seconds
+
+    return parse
+
+
+def positive_integer(text: str) -> int:
+    """Parse an argument that is a positive integer."""
+    try:
+        value = int(text)
+    except ValueError:
+        value = 0
+    if value <= 0:
+        raise argparse.ArgumentTypeError(f"{text!r} is not a positive integer")
+    return value
--- a/soak/errors.py
+++ b/soak/errors.py
@@ -21,3 +21,21 @@
     def __init__(self, name: str, log: str) -> None:
         super().__init__(f"sidecar {name} did not become ready: {log[-500:]}")
         self.name = name
+
+
+class MutationError(SoakError):
+    """A mutant cannot be applied, because the text that it replaces is not in its file exactly once.
+
+    Attributes:
+        mutant: the name of the mutant.
+        path: the file, relative to the root of the repository.
+        occurrences: how often the text is there.
+    """
+
+    def __init__(self, mutant: str, path: str, occurrences: int) -> None:
+        super().__init__(
+            f"mutant {mutant!r}: its text is {occurrences} times in {path}, not once; see soak/mutants.py"
+        )
+        self.mutant = mutant
+        self.path = path
+        self.occurrences = occurrences
--- /dev/null
+++ b/soak/mutants.py
@@ -0,0 +1,162 @@
+"""The mutants: defects that the soak has to notice, as replacements of source text.
+
+Each entry names the property that the mutant breaks, the file, the original text and what replaces it. The
+original text has to be in its file exactly once; a test checks that, so a change of the source shows which
+entries it affects. Where a property is guarded in two places, there is an entry for each and one for both.
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+
+@dataclass(frozen=True, slots=True)
+class Replacement:
+    """A change of one place in the source."""
+
+    path: str
+    """The file, relative to the root of the repository."""
+    original: str
+    """The text that is replaced; it is in the file exactly once."""
+    mutated: str
+    """The text that replaces it."""
+
+
+@dataclass(frozen=True, slots=True)
+class Mutant:
+    """The replacements that break one property of the sidecar."""
+
+    name: str
+    """The property that is broken."""
+    replacements: tuple[Replacement, ...]
+
+
+def _mutant(name: str, path: str, original: str, mutated: str) -> Mutant:
+    """Return a mutant that replaces one text."""
+    return Mutant(name, (Replacement(path, original, mutated),))
+
+
+_CHECK_BEFORE_SENDING = Replacement(
+    "balancer/sidecar/requests/dispatcher.py",
+    "if not request.answered and request.response_sink.is_disconnected():",
+    "if False:",
+)
+_DISCONNECT_EVENT = Replacement(
+    "balancer/sidecar/downstream/connection.py",
+    "            self._manager.dispatcher.on_client_disconnected(request_id)",
+    "            del request_id",
+)
+
+MUTANTS = (
+    _mutant(
+        "the time of a request counts from its arrival",
+        "balancer/sidecar/downstream/connection.py",
+        "waited_seconds = self._manager.now_seconds() - request.arrived_at_seconds",
+        "waited_seconds = 0.0",
+    ),
+    _mutant(
+        "every request gets a response by its deadline",
+        "balancer/sidecar/requests/dispatcher.py",
+        "self._attempts.continue_in_background(request)\n        if not request.answered:",
+        "if False:",
+    ),
+    Mutant("no attempt starts for a disconnected client: check before sending", (_CHECK_BEFORE_SENDING,)),
+    Mutant("no attempt starts for a disconnected client: disconnect event", (_DISCONNECT_EVENT,)),
+    Mutant("no attempt starts for a disconnected client: both", (_CHECK_BEFORE_SENDING, _DISCONNECT_EVENT)),
+    _mutant(
+        "an attempt that is not completely sent is cancelled with its client",
+        "balancer/sidecar/requests/dispatcher.py",
+        "            request.attempt.give_up_unsent()",
+        "            pass",
+    ),
+    _mutant(
+        "a request that may have executed is retried only if it is idempotent",
+        "balancer/policy/retry.py",
+        "is_safe = request.may_run_again or now < request.deduplicated_until_ns",
+        "is_safe = True",
+    ),
+    _mutant(
+        "a rejection promises that nothing has executed",
+        "balancer/policy/retry.py",
+        "        if not request.may_run_again:\n            return api.FailRequest(request.id)\n",
+        "",
+    ),
+    _mutant(
+        "a request with an idempotency key is retried only within its deduplication scope",
+        "balancer/policy/subset.py",
+        "            warm = [e for e in warm if e.drops_duplicates_of(bound_to, scope)]",
+        "            warm = [e for e in warm if scope is not None]",
+    ),
+    _mutant(
+        "an attempt is aborted at its timeout",
+        "balancer/sidecar/upstream/attempt.py",
+        "            self.abort(AttemptOutcome.TIMEOUT)\n\n    def continue",
+        "            self._end(AttemptOutcome.TIMEOUT)\n\n    def continue",
+    ),
+    _mutant(
+        "draining and removed endpoints get no requests",
+        "balancer/policy/membership.py",
+        "ready = [e for e in self.endpoints.values() if e.health == EndpointHealth.READY]",
+        "ready = list(self.endpoints.values())",
+    ),
+    _mutant(
+        "endpoints that warm up get fewer requests",
+        "balancer/policy/slow_start.py",
+        "    if not endpoint.started_at_ns or age >= duration:",
+        "    if age >= 0:",
+    ),
+    _mutant(
+        "start times follow steps of the wall clock",
+        "balancer/sidecar/discovery/start_times.py",
+        "if all(abs(offset_ns - known_ns) >= MIN_STEP_NS for known_ns in self._offsets_ns):",
+        "if not self._offsets_ns:",
+    ),
+    _mutant(
+        "a connection is not reused right after a response",
+        "balancer/sidecar/upstream/pool.py",
+        "CONNECTION_REUSE_DELAY_NS = SECOND_NS // 125",
+        "CONNECTION_REUSE_DELAY_NS = 0",
+    ),
+    _mutant(
+        "accepting resumes after a failure",
+        "balancer/sidecar/downstream/acceptor.py",
+        "        self._retry_timer.start(RETRY_DELAY_SECONDS, self._resume)\n",
+        "",
+    ),
+    _mutant(
+        "a shortage of sockets at the start is waited out",
+        "balancer/__main__.py",
+        "if error.errno not in RESOURCE_SHORTAGE_ERRNOS or time.monotonic() >= start_deadline:",
+        "if True:",
+    ),
+    _mutant(
+        "an unreadable configuration is read again",
+        "balancer/sidecar/process/lifecycle.py",
+        "            if self._attempts_left:\n",
+        "            if False:\n",
+    ),
+    _mutant(
+        "peers that send no valid request time out",
+        "balancer/sidecar/downstream/connection.py",
+        "elif not self.has_pending_responses and waited > self._request_timeout_seconds():",
+        "elif False:",
+    ),
+    _mutant(
+        "a shutdown responds to requests in flight",
+        "balancer/sidecar/process/lifecycle.py",
+        "self._dispatcher.expire_all_within(self._exit_delay_seconds - LAST_RESPONSES_BEFORE_EXIT_SECONDS)",
+        "pass",
+    ),
+    _mutant(
+        "a shutdown waits for the clients",
+        "balancer/sidecar/process/lifecycle.py",
+        "            await asyncio.wait_for(self._listener.wait_until_closed(), seconds_left)",
+        "            await asyncio.sleep(min(0.1, seconds_left))",
+    ),
+    _mutant(
+        "a watch that does not respond times out",
+        "balancer/sidecar/discovery/client.py",
+        "timeout_seconds = hold_seconds + profile.grace_seconds",
+        "timeout_seconds = 60.0",
+    ),
+)
