--- a/soak/__init__.py
+++ b/soak/__init__.py
@@ -1,4 +1,5 @@
-"""A randomized fault soak: real sidecars on loopback under overlapping faults, judged by invariants.
+"""A randomized fault soak: real sidecar processes on loopback under overlapping faults, judged by invariants.
 
-It is started with `python -m soak --seed N --seconds S --json FILE`.
+Run it with `python -m soak --seed N --seconds S --json FILE`. `python -m soak.mutation_testing` shows that it
+notices defects.
 """
--- /dev/null
+++ b/soak/account_server/http_messages.py
@@ -0,0 +1,38 @@
+"""The little of HTTP that an account server needs: requests are parsed, responses are built."""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+
+HEAD_END = b"\r\n\r\n"
+EMPTY_RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
+ERROR_RESPONSE = b"HTTP/1.1 500 Broken\r\nContent-Length: 0\r\n\r\n"
+REJECTION_RESPONSE = b"HTTP/1.1 503 No\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n"
+GARBAGE_RESPONSE = b"HTTP/9 garbage\x00\r\n"
+
+
+def request_size_bytes(data: bytes) -> int | None:
+    """Return the size of the first request in bytes, or None if its head is not complete."""
+    head_end = data.find(HEAD_END)
+    if head_end < 0:
+        return None
+    head_bytes = head_end + len(HEAD_END)
+    headers = parse_headers(data[:head_bytes])
+    return head_bytes + int(headers.get("content-length", "0"))
+
+
+def parse_headers(message: bytes) -> Mapping[str, str]:
+    """Return the header fields of a message, their names in lower case."""
+    head = message.partition(HEAD_END)[0].decode("latin-1")
+    fields = (line.partition(":") for line in head.split("\r\n")[1:])
+    return {name.strip().lower(): value.strip() for name, _, value in fields}
+
+
+def success_response(body: bytes) -> bytes:
+    """Return a complete response."""
+    return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)
+
+
+def success_response_without_length(body: bytes) -> bytes:
+    """Return a response that ends with its connection."""
+    return b"HTTP/1.1 200 OK\r\n\r\n" + body
--- /dev/null
+++ b/soak/account_server/server_fault.py
@@ -0,0 +1,21 @@
+"""How an account server misbehaves."""
+
+from __future__ import annotations
+
+from enum import StrEnum
+
+
+class ServerFault(StrEnum):
+    """How an account server misbehaves. The strength of a planned fault selects one by their order."""
+
+    NONE = "none"
+    HANG = "hangs"
+    SLOW = "is slow"
+    ERROR = "responds with 500"
+    REJECT = "rejects requests"
+    RESET = "resets after it has read a request"
+    GARBAGE = "responds with garbage"
+    TRUNCATED = "closes within its response"
+    DUPLICATE_RESPONSE = "sends a duplicate response"
+    NO_LENGTH = "responds without a length and closes"
+    CLOSE_IDLE = "closes after each response"
--- /dev/null
+++ b/soak/clients/behaviour.py
@@ -0,0 +1,60 @@
+"""What clients do, and how often."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from enum import StrEnum
+from random import Random
+
+
+class Behaviour(StrEnum):
+    """What a client does with its request. The load draws from them by their order in a profile."""
+
+    WAITS = "waits for the response"
+    DISCONNECTS = "closes the connection before the response"
+    RESETS = "resets the connection before the response"
+    WRITES_SLOWLY = "writes in pieces"
+    REQUESTS_CLOSE = "requests that the connection be closed"
+    PIPELINES = "pipelines many requests"
+    GARBAGE = "sends garbage"
+    PARTIAL_REQUEST = "stops in the middle of a request"
+    SILENT = "sends nothing"
+    FLOODS = "sends much garbage and disconnects"
+
+
+MALFORMED_BEHAVIOURS = (
+    Behaviour.GARBAGE,
+    Behaviour.PARTIAL_REQUEST,
+    Behaviour.SILENT,
+    Behaviour.FLOODS,
+)
+"""Those of clients that send no valid request."""
+
+
+@dataclass(slots=True)
+class LoadProfile:
+    """How often clients show each behaviour; faults change it for a while."""
+
+    weights: dict[Behaviour, float]
+
+    def draw(self, random: Random) -> Behaviour:
+        """Draw what one client does."""
+        return random.choices(list(self.weights), list(self.weights.values()))[0]
+
+
+def default_profile() -> LoadProfile:
+    """Return the profile of clients without a fault."""
+    return LoadProfile(
+        {
+            Behaviour.WAITS: 80.0,
+            Behaviour.DISCONNECTS: 3.0,
+            Behaviour.RESETS: 1.0,
+            Behaviour.WRITES_SLOWLY: 4.0,
+            Behaviour.REQUESTS_CLOSE: 4.0,
+            Behaviour.PIPELINES: 0.5,
+            Behaviour.GARBAGE: 0.3,
+            Behaviour.PARTIAL_REQUEST: 0.3,
+            Behaviour.SILENT: 0.2,
+            Behaviour.FLOODS: 0.2,
+        }
+    )
--- /dev/null
+++ b/soak/clients/connection.py
@@ -0,0 +1,158 @@
+"""A client's connection to a sidecar: writes requests and matches responses to them in order."""
+
+from __future__ import annotations
+
+import asyncio
+from collections import deque
+from dataclasses import dataclass
+from typing import cast
+
+from soak.clients.response_parser import Response, ResponseParser
+from soak.history.clock import HarnessClock
+from soak.history.events import ClientRequest, ConnectionEnd
+from soak.network.sockets import Address, reset_transport
+
+FIRST_BYTES_LENGTH = 64
+"""Bytes of what a sidecar sends first that are kept: enough for a status line."""
+
+
+@dataclass(slots=True)
+class _PendingRequest:
+    """A request that waits for its response on a connection."""
+
+    request: ClientRequest
+    is_done: asyncio.Future[None]
+
+    def finish(self) -> None:
+        """Wake up whoever waits for the outcome."""
+        if not self.is_done.done():
+            self.is_done.set_result(None)
+
+
+class ClientConnection(asyncio.Protocol):
+    """One connection; the outcome of each request is recorded in it.
+
+    Attributes:
+        idle_since_seconds: when the last response arrived, or the connection was made.
+        request_count: how many requests were written.
+        is_open: whether neither side has ended the connection.
+        first_bytes: the first bytes that the sidecar sent.
+    """
+
+    def __init__(self, clock: HarnessClock) -> None:
+        self._clock = clock
+        self._transport: asyncio.Transport | None = None
+        self._parser = ResponseParser()
+        self._pending: deque[_PendingRequest] = deque()
+        self._lost: asyncio.Future[None] = asyncio.get_running_loop().create_future()
+        self.idle_since_seconds = clock.now_seconds()
+        self.request_count = 0
+        self.is_open = False
+        self.first_bytes = b""
+
+    @classmethod
+    async def open(cls, address: Address, clock: HarnessClock, timeout_seconds: float) -> ClientConnection:
+        """Connect. Raises OSError, also for a timeout."""
+        loop = asyncio.get_running_loop()
+        async with asyncio.timeout(timeout_seconds):
+            _, protocol = await loop.create_connection(lambda: cls(clock), *address)
+        return protocol
+
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Keep the transport."""
+        self._transport = cast(asyncio.Transport, transport)
+        self.is_open = True
+
+    def data_received(self, data: bytes) -> None:
+        """Record the responses that are complete."""
+        if not self.first_bytes:
+            self.first_bytes = data[:FIRST_BYTES_LENGTH]
+        self._parser.feed(data)
+        while self._pending:
+            response = self._parser.next_response()
+            if response is None:
+                return
+            self._record_response(response)
+
+    def eof_received(self) -> None:
+        """Record that the sidecar has closed the connection."""
+        self.is_open = False
+        is_truncated = self._parser.has_partial_response
+        self._end_pending(ConnectionEnd.TRUNCATED_RESPONSE if is_truncated else ConnectionEnd.CLOSED)
+
+    def connection_lost(self, error: Exception | None) -> None:
+        """Record the loss of the connection."""
+        self.is_open = False
+        self._end_pending(ConnectionEnd.CLOSED if error is None else ConnectionEnd.RESET)
+        if not self._lost.done():
+            self._lost.set_result(None)
+
+    def write(self, data: bytes) -> None:
+        """Write bytes that do not complete a request."""
+        if self._transport is not None and not self._transport.is_closing():
+            self._transport.write(data)
+
+    def send(self, request: ClientRequest, last_bytes: bytes) -> asyncio.Future[None]:
+        """Write the last bytes of a request; the future is done once its outcome is known."""
+        is_done: asyncio.Future[None] = asyncio.get_running_loop().create_future()
+        request.is_first_on_connection = not self.request_count
+        request.connection_idle_seconds = self._clock.now_seconds() - self.idle_since_seconds
+        request.blocked_until_seconds = max(
+            (pending.request.deadline_seconds for pending in self._pending), default=0.0
+        )
+        self.request_count += 1
+        self._pending.append(_PendingRequest(request, is_done))
+        self.write(last_bytes)
+        request.sent_at_seconds = self._clock.now_seconds()
+        if not self.is_open:
+            self.disconnect(
+                by_reset=False
+            )  # it ended while the request was being written: nobody received it
+        return is_done
+
+    def disconnect(self, by_reset: bool) -> None:
+        """Close the connection as a client that does not wait for its responses."""
+        now_seconds = self._clock.now_seconds()
+        for pending in self._pending:
+            pending.request.disconnected_at_seconds = now_seconds
+        self._close(by_reset)
+
+    def give_up(self) -> None:
+        """Close the connection as a client whose requests have timed out: their responses are missing."""
+        self._close(by_reset=False)
+
+    async def wait_until_lost(self, timeout_seconds: float) -> bool:
+        """Wait for the end of the connection; return False if it does not come in this time."""
+        done, _ = await asyncio.wait((self._lost,), timeout=timeout_seconds)
+        return bool(done)
+
+    def _close(self, by_reset: bool) -> None:
+        self.is_open = False
+        for pending in self._pending:
+            pending.finish()
+        self._pending.clear()
+        if self._transport is None:
+            return
+        if by_reset:
+            reset_transport(self._transport)
+        else:
+            self._transport.close()
+
+    def _record_response(self, response: Response) -> None:
+        now_seconds = self._clock.now_seconds()
+        pending = self._pending.popleft()
+        pending.request.answered_at_seconds = now_seconds
+        pending.request.status = response.status
+        pending.request.body = response.body.decode("latin-1")
+        self.idle_since_seconds = now_seconds
+        if self._parser.announces_close:
+            self.is_open = False
+        pending.finish()
+
+    def _end_pending(self, end: ConnectionEnd) -> None:
+        now_seconds = self._clock.now_seconds()
+        for pending in self._pending:
+            pending.request.ended_at_seconds = now_seconds
+            pending.request.end = end
+            pending.finish()
+        self._pending.clear()
--- /dev/null
+++ b/soak/clients/load.py
@@ -0,0 +1,171 @@
+"""The load on one sidecar: clients in open loop, some of which misbehave."""
+
+from __future__ import annotations
+
+import asyncio
+from random import Random
+
+from soak.clients.behaviour import MALFORMED_BEHAVIOURS, Behaviour, default_profile
+from soak.clients.connection import ClientConnection
+from soak.clients.connection_pool import ConnectionPool
+from soak.clients.malformed_client import MalformedClientRunner
+from soak.clients.request_factory import PreparedRequest, RequestFactory
+from soak.deployment import Deployment
+from soak.history.clock import HarnessClock
+from soak.history.events import ClientRequest
+from soak.history.history import History
+from soak.sidecar.process import SidecarProcess
+
+RESPONSE_GRACE_SECONDS = 0.55
+"""Seconds for which clients wait beyond their deadline, to distinguish late responses from missing ones."""
+KEEP_ALIVE_RACE_SECONDS = 0.05
+"""Seconds. A client retries a request whose idle connection ended this soon after it was written."""
+MAX_SLOW_WRITE_SECONDS = 0.3
+"""Seconds that a client takes at most to write a request in pieces."""
+SLOW_WRITE_CUTS = 3
+"""Cuts of a request that is written in pieces."""
+MIN_PIPELINED_REQUESTS = 2
+MAX_PIPELINED_REQUESTS = 24
+"""Requests; more than a sidecar processes at once on one connection."""
+BURSTS = (1, 1, 1, 1, 1, 1, 2, 2, 4, 6)
+"""Requests that arrive at once, drawn with equal chances: most alone, some in bursts."""
+MEAN_BURST = sum(BURSTS) / len(BURSTS)
+
+
+class ClientLoad:
+    """The clients of one sidecar.
+
+    Attributes:
+        profile: what clients do, and how often.
+    """
+
+    def __init__(
+        self,
+        sidecar: SidecarProcess,
+        deployment: Deployment,
+        clock: HarnessClock,
+        history: History,
+        random: Random,
+    ) -> None:
+        self.profile = default_profile()
+        self._requests_per_second = deployment.requests_per_second
+        self._history = history
+        self._random = random
+        self._pool = ConnectionPool(sidecar, clock, random)
+        self._factory = RequestFactory(sidecar.name, deployment, random)
+        self._malformed_clients = MalformedClientRunner(sidecar.name, clock, history, random)
+        self._tasks: set[asyncio.Task[None]] = set()
+
+    async def run(self) -> None:
+        """Start clients at random times until cancelled; those that have started then go on."""
+        bursts_per_second = self._requests_per_second / MEAN_BURST
+        while True:
+            await asyncio.sleep(self._random.expovariate(bursts_per_second))
+            for _ in range(self._random.choice(BURSTS)):
+                task = asyncio.create_task(self._run_client(self.profile.draw(self._random)))
+                self._tasks.add(task)
+                task.add_done_callback(self._tasks.discard)
+
+    async def finish(self) -> None:
+        """Wait for the clients that have started, and close their connections."""
+        if self._tasks:
+            await asyncio.wait(set(self._tasks))
+        self._pool.close_all()
+
+    def disconnect_all(self) -> None:
+        """Let every client disconnect at once."""
+        self._pool.disconnect_all()
+
+    async def _run_client(self, behaviour: Behaviour) -> None:
+        is_malformed = behaviour in MALFORMED_BEHAVIOURS
+        needs_new_connection = is_malformed or behaviour == Behaviour.PIPELINES
+        connection = await (self._pool.connect() if needs_new_connection else self._pool.acquire())
+        if connection is None:
+            return
+        if is_malformed:
+            valid_request = self._factory.make().data
+            await self._malformed_clients.run(connection, behaviour, valid_request)
+        elif behaviour == Behaviour.PIPELINES:
+            await self._run_pipeline(connection)
+        else:
+            await self._run_request(connection, behaviour)
+        if not connection.is_open:
+            self._pool.discard(connection)
+
+    async def _run_request(self, connection: ClientConnection, behaviour: Behaviour) -> None:
+        prepared = self._factory.make(requests_close=behaviour == Behaviour.REQUESTS_CLOSE)
+        request = prepared.request
+        data = prepared.data
+        if behaviour == Behaviour.WRITES_SLOWLY:
+            data = await self._write_all_but_last_piece(connection, data)
+        self._history.requests[request.request_id] = request
+        is_done = connection.send(request, data)
+        if behaviour in (Behaviour.DISCONNECTS, Behaviour.RESETS):
+            await self._disconnect_early(connection, request, is_done, behaviour)
+            return
+        await self._await_response(connection, request, is_done)
+        if request.end is not None and _met_keep_alive_race(request):
+            await self._retry(request, data)
+
+    async def _disconnect_early(
+        self,
+        connection: ClientConnection,
+        request: ClientRequest,
+        is_done: asyncio.Future[None],
+        behaviour: Behaviour,
+    ) -> None:
+        """Disconnect at a random time before the deadline unless the response comes first."""
+        patience_seconds = request.timeout_seconds * self._random.random() ** 2
+        await asyncio.wait((is_done,), timeout=patience_seconds)
+        if not is_done.done():
+            connection.disconnect(by_reset=behaviour == Behaviour.RESETS)
+
+    async def _await_response(
+        self, connection: ClientConnection, request: ClientRequest, is_done: asyncio.Future[None]
+    ) -> None:
+        await asyncio.wait((is_done,), timeout=request.timeout_seconds + RESPONSE_GRACE_SECONDS)
+        if is_done.done():
+            self._pool.release(connection)
+        else:
+            connection.give_up()
+
+    async def _retry(self, request: ClientRequest, data: bytes) -> None:
+        """Send a request once more, on a new connection."""
+        connection = await self._pool.connect()
+        if connection is None:
+            return
+        request.retried_after = request.end
+        request.end = None
+        request.ended_at_seconds = None
+        await self._await_response(connection, request, connection.send(request, data))
+
+    async def _write_all_but_last_piece(self, connection: ClientConnection, data: bytes) -> bytes:
+        """Write a request in pieces, with pauses, and return the last piece."""
+        cuts = sorted(self._random.randrange(1, len(data)) for _ in range(SLOW_WRITE_CUTS))
+        for start, end in zip([0, *cuts[:-1]], cuts, strict=True):
+            connection.write(data[start:end])
+            await asyncio.sleep(self._random.random() * MAX_SLOW_WRITE_SECONDS / SLOW_WRITE_CUTS)
+        return data[cuts[-1] :]
+
+    async def _run_pipeline(self, connection: ClientConnection) -> None:
+        count = self._random.randint(MIN_PIPELINED_REQUESTS, MAX_PIPELINED_REQUESTS)
+        batch = [self._factory.make() for _ in range(count)]
+        pending = [self._send(connection, prepared) for prepared in batch]
+        longest_seconds = max(prepared.request.timeout_seconds for prepared in batch)
+        await asyncio.wait(pending, timeout=longest_seconds + RESPONSE_GRACE_SECONDS)
+        if not all(is_done.done() for is_done in pending):
+            connection.give_up()
+
+    def _send(self, connection: ClientConnection, prepared: PreparedRequest) -> asyncio.Future[None]:
+        self._history.requests[prepared.request.request_id] = prepared.request
+        return connection.send(prepared.request, prepared.data)
+
+
+def _met_keep_alive_race(request: ClientRequest) -> bool:
+    """Return whether the request met the close of an idle connection, so that the client may retry it."""
+    if request.is_first_on_connection:
+        return False
+    ended_at_seconds = (
+        request.sent_at_seconds if request.ended_at_seconds is None else request.ended_at_seconds
+    )
+    return ended_at_seconds - request.sent_at_seconds < KEEP_ALIVE_RACE_SECONDS
--- /dev/null
+++ b/soak/clients/request_factory.py
@@ -0,0 +1,72 @@
+"""Draws the requests of the clients of one sidecar."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from random import Random
+
+from soak.deployment import TENANTS, Deployment, Idempotency, RequestClass
+from soak.history.events import ClientRequest
+
+KEY_COUNT = 200
+"""Distinct resource keys; low ones are drawn more often."""
+MAX_BODY_BYTES = 20_000
+"""Bytes; the larger bodies need several reads."""
+MIN_TIMEOUT_SHARE = 0.7
+"""The shortest timeout that a client sets, as a share of the one of its request class."""
+
+
+@dataclass(frozen=True, slots=True)
+class PreparedRequest:
+    """A request that has not been sent yet, and its bytes."""
+
+    request: ClientRequest
+    data: bytes
+
+
+class RequestFactory:
+    """Draws requests; their identifiers carry the name of the sidecar and are unique."""
+
+    def __init__(self, sidecar: str, deployment: Deployment, random: Random) -> None:
+        self._sidecar = sidecar
+        self._deployment = deployment
+        self._random = random
+        self._request_count = 0
+
+    def make(self, requests_close: bool = False) -> PreparedRequest:
+        """Draw a request; with `requests_close` it asks for its connection to be closed afterwards."""
+        request_classes = self._deployment.request_classes
+        shares = [request_class.share for request_class in request_classes]
+        request_class = self._random.choices(request_classes, shares)[0]
+        self._request_count += 1
+        timeout_share = self._random.uniform(MIN_TIMEOUT_SHARE, 1.0)
+        request = ClientRequest(
+            request_id=f"{self._sidecar}-{self._request_count:x}",
+            sidecar=self._sidecar,
+            request_class=request_class.name,
+            sent_at_seconds=0.0,
+            timeout_seconds=round(request_class.timeout_seconds * timeout_share, 3),
+            is_first_on_connection=True,
+        )
+        return PreparedRequest(request, self._encode(request, request_class, requests_close))
+
+    def _encode(self, request: ClientRequest, request_class: RequestClass, requests_close: bool) -> bytes:
+        """Return the bytes of a request; the order of the draws is part of a seed."""
+        has_body = request_class.idempotency != Idempotency.IDEMPOTENT
+        body = self._random.randbytes(self._random.randrange(MAX_BODY_BYTES)) if has_body else b""
+        key = int(KEY_COUNT * self._random.random() ** 2)
+        lines = [
+            f"{'POST' if has_body else 'GET'} /api?k={key:x} HTTP/1.1",
+            "Host: backend.local",
+            f"Req-Id: {request.request_id}",
+            f"Req-Kind: {request_class.name}",
+            f"Req-Owner: {self._random.choice(TENANTS)}",
+            f"Req-Deadline: {request.timeout_seconds:.3f}",
+        ]
+        if request_class.idempotency == Idempotency.IDEMPOTENCY_KEY:
+            lines.append(f"Idempotency-Key: key-{request.request_id}")
+        if has_body:
+            lines.append(f"Content-Length: {len(body)}")
+        if requests_close:
+            lines.append("Connection: close")
+        return "\r\n".join(lines).encode() + b"\r\n\r\n" + body
--- a/soak/deployment.py
+++ b/soak/deployment.py
@@ -1,54 +1,103 @@
-"""The deployment that a soak runs: classes of requests, rules and sizes, some of them drawn from the seed."""
+"""The deployment that a soak runs: request classes, rules and sizes, some of them drawn from the seed."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
+from enum import StrEnum
 from random import Random
-from typing import Any
-
-SECOND_NS = 1_000_000_000
 
 ZONES = ("zone-a", "zone-b")
 CELLS_PER_ZONE = 2
 TENANTS = ("tenant-a", "tenant-b")
 
-SAFE, KEYED, UNSAFE = "retryable", "dedup", "fragile"
-"""What a second execution of a request would do, as the settings name it."""
+MIN_SIDECARS = 10
+"""Processes; from here on the quota of one is small enough for their choices to collide."""
+MAX_SIDECARS = 18
+"""Processes; more keep a machine of a few cores from meeting the time limits."""
+SERVER_COUNT = 8
+"""Account servers: two in each cell of each zone."""
+FLEET_REQUESTS_PER_SECOND = 190
+"""Requests a second of all clients together: 60 % of what the servers can do, so that losing some matters."""
+SERVER_REQUESTS_PER_SECOND = 40.0
+"""Requests a second that one server can process once it has warmed up."""
+POLLED_DISCOVERY_PROBABILITY = 0.25
+"""Probability that sidecars poll for the endpoint list instead of watching it."""
+DRAIN_GRACE_CHOICES_SECONDS = (0.5, 1.0)
+"""Seconds for which requests may still go to a draining server."""
+LATE_ANSWER_VALUES = (0.0, 0.3)
+"""Value of a response after the latency objective, as a share of that of one in time."""
+INITIAL_CAPACITY_SHARE = 0.05
+"""Share of its capacity that a server starts with."""
+WARM_UP_SECONDS = 9.0
+"""Seconds that a server takes to reach its full capacity."""
+OVERLOAD_MULTIPLE = 0.9
+"""Multiple of its capacity under which a server that warms up falls over.
+
+Tighter than at any site, where it is 3: idle servers are preferred and one that warms up is slow, so even
+without slow start it gets less than others. Its budget has to distinguish the two.
+"""
+OVERLOAD_WINDOW_SECONDS = 3.0
+"""Seconds for which a server that warms up has to be overloaded before it falls over."""
+
+
+class Idempotency(StrEnum):
+    """What a second execution of a request would do; the values are those of the settings."""
+
+    IDEMPOTENT = "retryable"
+    IDEMPOTENCY_KEY = "dedup"
+    NOT_IDEMPOTENT = "fragile"
+
+
+class DeduplicationScope(StrEnum):
+    """Which account servers drop the repeats of a request with an idempotency key."""
+
+    ALL = "all"
+    ZONE = "zone"
+    CELL = "cell"
 
 
 @dataclass(frozen=True, slots=True)
-class RequestKind:
+class RequestClass:
     """A class of requests."""
 
     name: str
-    effect: str
+    idempotency: Idempotency
     objective_seconds: float
+    """The latency objective."""
     timeout_seconds: float
+    """The longest time that a client waits."""
     share: float
-    """Of all requests."""
-    late_worth: float = 0.3
-    """Of an answer after the objective; where it is 0 an attempt is given up then."""
-    key_scope: str = "all"
-    window_seconds: float = 5.0
+    """Share of all requests."""
+    late_answer_value: float = 0.3
+    """Value of a response after the objective; where it is 0 an attempt is cancelled then."""
+    deduplication_scope: DeduplicationScope = DeduplicationScope.ALL
+    deduplication_window_seconds: float = 5.0
+
+    @property
+    def may_always_execute_again(self) -> bool:
+        """Whether a retry is harmless at whatever server it arrives."""
+        if self.idempotency == Idempotency.IDEMPOTENCY_KEY:
+            return self.deduplication_scope == DeduplicationScope.ALL
+        return self.idempotency == Idempotency.IDEMPOTENT
 
 
 @dataclass(frozen=True, slots=True)
 class Deployment:
     """What all processes of one soak have in common."""
 
-    kinds: tuple[RequestKind, ...]
+    request_classes: tuple[RequestClass, ...]
     sidecar_count: int
     server_count: int
     requests_per_second: float
-    """Of one sidecar."""
+    """Requests a second of the clients of one sidecar."""
     is_discovery_polled: bool
     drain_grace_seconds: float
-    cold_share: float
-    """The capacity of a server that has just started, as a share of its full capacity."""
+    initial_capacity_share: float
+    """Share of its full capacity that a server has when it starts."""
     warm_up_seconds: float
     overload_multiple: float
     overload_window_seconds: float
-    """A cold server that gets this many times its capacity for this long falls over."""
+    """A server that warms up and gets this many times its capacity for this long falls over."""
     server_requests_per_second: float
     """The full capacity of one server."""
     max_attempts: int = 4
@@ -58,98 +107,62 @@
     @property
     def longest_timeout_seconds(self) -> float:
         """The longest time that any client waits."""
-        return max(kind.timeout_seconds for kind in self.kinds)
+        return max(request_class.timeout_seconds for request_class in self.request_classes)
 
-    def warmth(self, age_seconds: float) -> float:
+    def capacity_share(self, age_seconds: float) -> float:
         """Return the capacity of a server of this age as a share of its full capacity."""
-        share = min(1.0, age_seconds / self.warm_up_seconds)
-        return self.cold_share + (1 - self.cold_share) * share
-
-    def kind(self, name: str) -> RequestKind:
-        """Return the class of this name."""
-        return next(kind for kind in self.kinds if kind.name == name)
-
-    def settings(self, position: int) -> dict[str, Any]:
-        """Return the settings object of one sidecar, as its configuration has it."""
-        return {
-            "Azs": list(ZONES),
-            "Kinds": ["kind"],
-            "Categories": [_category(kind) for kind in self.kinds],
-            "Orgs": [{"Name": name, "Portion": 0.5, "QuotaPerS": 1000.0} for name in TENANTS],
-            "Limits": {
-                "MaxAttempts": self.max_attempts,
-                "Cancel": True,
-                "Probes": True,
-                "RetryAfter": True,
-                "MaxRetryAfterNs": SECOND_NS,
-                "ConnectTimeoutNs": 150_000_000,
-                "ConnIdleNs": 6 * SECOND_NS,
-                "ParallelTries": False,
-            },
-            "Rules": {
-                "AnswerSlackNs": 20_000_000,
-                "AskWithinNs": 3 * SECOND_NS,
-                "DrainGraceNs": _nanoseconds(self.drain_grace_seconds),
-                "ColdFrom": self.cold_share,
-                "ColdNs": _nanoseconds(self.warm_up_seconds),
-                "FallMultiple": self.overload_multiple,
-                "FallNs": _nanoseconds(self.overload_window_seconds),
-            },
-            "Discovery": "on_request" if self.is_discovery_polled else "pushed",
-            "Deductions": {"Connection": 0.06, "CrossZone": 0.016, "Handshake": 0.06, "Waste": 0.08},
-            "Extra": {"WarmKeys": True},
-            "NInstances": self.sidecar_count,
-            "Position": position,
-            "Zone": position % len(ZONES),
-        }
+        progress = min(1.0, age_seconds / self.warm_up_seconds)
+        return self.initial_capacity_share + (1 - self.initial_capacity_share) * progress
+
+    def request_class(self, name: str) -> RequestClass:
+        """Return the request class of this name."""
+        return next(request_class for request_class in self.request_classes if request_class.name == name)
 
 
 def draw_deployment(random: Random) -> Deployment:
     """Draw a deployment: what differs between sites differs between seeds."""
-    sidecar_count = random.randint(10, 18)
+    sidecar_count = random.randint(MIN_SIDECARS, MAX_SIDECARS)
+    request_classes = _draw_request_classes(random)
     return Deployment(
-        kinds=(
-            RequestKind("read", SAFE, 0.3, 1.2, share=0.4, late_worth=random.choice((0.0, 0.3))),
-            RequestKind(
-                "change",
-                KEYED,
-                0.3,
-                random.choice((0.6, 1.0)),
-                share=0.35,
-                late_worth=random.choice((0.0, 0.3)),
-                key_scope=random.choice(("all", "zone", "cell")),
-                window_seconds=random.choice((0.3, 0.75)),
-            ),
-            RequestKind("invoice", UNSAFE, 0.6, random.choice((1.5, 2.5)), share=0.25),
-        ),
+        request_classes=request_classes,
         sidecar_count=sidecar_count,
-        server_count=8,
-        requests_per_second=190 / sidecar_count,
-        is_discovery_polled=random.random() < 0.25,
-        drain_grace_seconds=random.choice((0.5, 1.0)),
-        # Tighter than any site, where the multiple is 3. Idle servers are preferred and a cold one is slow:
-        # even without slow start it gets less than others, and its budget has to tell the two apart.
-        cold_share=0.05,
-        warm_up_seconds=9.0,
-        overload_multiple=0.9,
-        overload_window_seconds=3.0,
-        server_requests_per_second=40.0,
+        server_count=SERVER_COUNT,
+        requests_per_second=FLEET_REQUESTS_PER_SECOND / sidecar_count,
+        is_discovery_polled=random.random() < POLLED_DISCOVERY_PROBABILITY,
+        drain_grace_seconds=random.choice(DRAIN_GRACE_CHOICES_SECONDS),
+        initial_capacity_share=INITIAL_CAPACITY_SHARE,
+        warm_up_seconds=WARM_UP_SECONDS,
+        overload_multiple=OVERLOAD_MULTIPLE,
+        overload_window_seconds=OVERLOAD_WINDOW_SECONDS,
+        server_requests_per_second=SERVER_REQUESTS_PER_SECOND,
     )
 
 
-def _category(kind: RequestKind) -> dict[str, Any]:
-    return {
-        "Name": kind.name,
-        "Effect": kind.effect,
-        "AimNs": _nanoseconds(kind.objective_seconds),
-        "HardLimitNs": _nanoseconds(kind.timeout_seconds),
-        "Importance": 5.0 if kind.effect == UNSAFE else 3.0,
-        "LateWorth": kind.late_worth,
-        "KeyScope": kind.key_scope,
-        "WindowNs": _nanoseconds(kind.window_seconds),
-        "Stream": False,
-    }
-
-
-def _nanoseconds(seconds: float) -> int:
-    return int(seconds * SECOND_NS)
+def _draw_request_classes(random: Random) -> tuple[RequestClass, ...]:
+    """Draw one request class for each kind of idempotency; the order of the draws is part of a seed."""
+    read = RequestClass(
+        name="read",
+        idempotency=Idempotency.IDEMPOTENT,
+        objective_seconds=0.3,
+        timeout_seconds=1.2,
+        share=0.4,
+        late_answer_value=random.choice(LATE_ANSWER_VALUES),
+    )
+    change = RequestClass(
+        name="change",
+        idempotency=Idempotency.IDEMPOTENCY_KEY,
+        objective_seconds=0.3,
+        timeout_seconds=random.choice((0.6, 1.0)),
+        share=0.35,
+        late_answer_value=random.choice(LATE_ANSWER_VALUES),
+        deduplication_scope=random.choice(list(DeduplicationScope)),
+        deduplication_window_seconds=random.choice((0.3, 0.75)),
+    )
+    invoice = RequestClass(
+        name="invoice",
+        idempotency=Idempotency.NOT_IDEMPOTENT,
+        objective_seconds=0.6,
+        timeout_seconds=random.choice((1.5, 2.5)),
+        share=0.25,
+    )
+    return read, change, invoice
--- a/soak/errors.py
+++ b/soak/errors.py
@@ -4,11 +4,15 @@
 
 
 class SoakError(Exception):
-    """The soak itself cannot go on; it says nothing of the sidecars."""
+    """The soak itself cannot go on; this says nothing of the sidecars."""
 
 
 class FaultLibraryError(SoakError):
-    """The library that makes system calls fail could not be built."""
+    """The library that makes system calls fail could not be built.
+
+    Attributes:
+        reason: what the compiler said.
+    """
 
     def __init__(self, reason: str) -> None:
         super().__init__(f"the library of system call faults cannot be built: {reason}")
@@ -16,10 +20,14 @@
 
 
 class SidecarNotReadyError(SoakError):
-    """A sidecar did not become ready at the start of the soak."""
+    """A sidecar did not become ready at the start of the soak.
+
+    Attributes:
+        name: the name of the sidecar.
+    """
 
-    def __init__(self, name: str, log: str) -> None:
-        super().__init__(f"sidecar {name} did not become ready: {log[-500:]}")
+    def __init__(self, name: str) -> None:
+        super().__init__(f"sidecar {name} did not become ready; with --keep DIR its log is kept")
         self.name = name
 
 
--- /dev/null
+++ b/soak/fault_injection/account_server_faults.py
@@ -0,0 +1,92 @@
+"""Faults of the account servers."""
+
+from __future__ import annotations
+
+import asyncio
+
+from soak.account_server.server import AccountServer
+from soak.account_server.server_fault import ServerFault
+from soak.fault_injection.targets import InjectionsByKind, choose_server
+from soak.fault_plan import FaultKind, PlannedFault
+from soak.fleet import Fleet
+from soak.history.events import EndpointHealth
+
+MAX_DRAIN_SECONDS = 2.0
+"""Seconds for which a server drains before it is removed, at most."""
+
+
+def selected_server_fault(strength: float) -> ServerFault:
+    """Return how a server misbehaves under a fault of this strength."""
+    faults = [fault for fault in ServerFault if fault != ServerFault.NONE]
+    return faults[int(strength * len(faults)) % len(faults)]
+
+
+def sends_duplicate_responses(fault: PlannedFault) -> bool:
+    """Return whether account servers send duplicate responses because of a fault."""
+    if fault.kind == FaultKind.SERVER_MISBEHAVES:
+        return selected_server_fault(fault.strength) == ServerFault.DUPLICATE_RESPONSE
+    return fault.kind == FaultKind.DUPLICATE_RESPONSES
+
+
+class AccountServerFaultInjector:
+    """Makes account servers misbehave, crash and drain."""
+
+    def __init__(self, fleet: Fleet) -> None:
+        self._fleet = fleet
+
+    def injections(self) -> InjectionsByKind:
+        """Return the injection of each kind of fault that this class injects."""
+        return {
+            FaultKind.SERVER_MISBEHAVES: self._misbehave,
+            FaultKind.DUPLICATE_RESPONSES: self._send_duplicate_responses,
+            FaultKind.SERVER_RESTARTS: self._restart,
+            FaultKind.SERVER_DRAINS: self._drain,
+        }
+
+    async def _misbehave(self, fault: PlannedFault) -> str:
+        server = choose_server(self._fleet, fault)
+        server.fault = selected_server_fault(fault.strength)
+        target = f"{server.identity.name} {server.fault.value}"
+        await asyncio.sleep(fault.seconds)
+        server.fault = ServerFault.NONE
+        server.record_fault_end()
+        return target
+
+    async def _send_duplicate_responses(self, fault: PlannedFault) -> str:
+        """Make all servers that are in order send duplicate responses."""
+        servers = [server for server in self._fleet.servers if server.fault == ServerFault.NONE]
+        for server in servers:
+            server.fault = ServerFault.DUPLICATE_RESPONSE
+        await asyncio.sleep(fault.seconds)
+        for server in servers:
+            if server.fault == ServerFault.DUPLICATE_RESPONSE:
+                server.fault = ServerFault.NONE
+                server.record_fault_end()
+        return f"{len(servers)} servers"
+
+    async def _restart(self, fault: PlannedFault) -> str:
+        """Crash a server, and start it again as a process that warms up."""
+        server = choose_server(self._fleet, fault)
+        if not server.is_running:
+            return _not_running(server)
+        server.stop()
+        await asyncio.sleep(fault.seconds)
+        await server.start(needs_warm_up=True)
+        self._fleet.directory.set_health(server, EndpointHealth.UP)
+        return server.identity.name
+
+    async def _drain(self, fault: PlannedFault) -> str:
+        """Drain and remove a server, which still responds, and start another in its place."""
+        server = choose_server(self._fleet, fault)
+        if not server.is_running:
+            return _not_running(server)
+        self._fleet.servers.remove(server)
+        self._fleet.directory.set_health(server, EndpointHealth.DRAINING)
+        await asyncio.sleep(MAX_DRAIN_SECONDS * fault.strength)
+        self._fleet.directory.set_health(server, EndpointHealth.REMOVED)
+        await self._fleet.replace_server(server)
+        return f"{server.identity.name}, which still responds"
+
+
+def _not_running(server: AccountServer) -> str:
+    return f"{server.identity.name}, which did not run"
--- /dev/null
+++ b/soak/fault_injection/targets.py
@@ -0,0 +1,24 @@
+"""What all injectors share: the type of an injection, and the choice of its target."""
+
+from __future__ import annotations
+
+from collections.abc import Awaitable, Callable, Mapping
+
+from soak.account_server.server import AccountServer
+from soak.fault_plan import FaultKind, PlannedFault
+from soak.fleet import Fleet, Member
+
+Injection = Callable[[PlannedFault], Awaitable[str]]
+"""Injects a fault, waits for its end and returns a description of its target."""
+
+InjectionsByKind = Mapping[FaultKind, Injection]
+
+
+def choose_member(fleet: Fleet, fault: PlannedFault) -> Member:
+    """Return the sidecar, with its clients, that a fault hits."""
+    return fleet.members[int(fault.choice * len(fleet.members)) % len(fleet.members)]
+
+
+def choose_server(fleet: Fleet, fault: PlannedFault) -> AccountServer:
+    """Return the account server that a fault hits."""
+    return fleet.servers[int(fault.choice * len(fleet.servers)) % len(fleet.servers)]
--- a/soak/fault_plan.py
+++ b/soak/fault_plan.py
@@ -8,23 +8,31 @@
 
 from soak.deployment import Deployment
 
-WARM_UP_SECONDS = 2.5
-"""Without faults, so that connections and estimates are there to be disturbed."""
-QUIET_SECONDS = 12.0
-"""Without faults at the end, in which the fleet has to recover: longer than a server takes to warm up."""
+FAULT_FREE_START_SECONDS = 2.5
+"""Seconds without faults at the start, so that there are connections and estimates to disturb."""
+FAULT_FREE_END_SECONDS = 12.0
+"""Seconds without faults at the end, for the fleet to recover: longer than a server takes to warm up."""
+MIN_FAULT_SECONDS = 0.2
 MAX_FAULT_SECONDS = 3.0
 CLUSTER_INTERVAL_SECONDS = 0.5
-"""On average between two clusters of faults that overlap."""
+"""Mean seconds between two clusters of overlapping faults."""
+CLUSTER_SPREAD_SECONDS = 1.0
+"""Seconds within which the faults of a cluster start."""
+MIN_FAULTS_PER_CLUSTER = 2
 MAX_FAULTS_PER_CLUSTER = 4
+SAME_TARGET_PROBABILITY = 0.6
+"""Probability that a fault hits the target of its cluster, where faults that overlap interact."""
+WALL_CLOCK_STEPS_SECONDS = (3600.0, -3600.0, 5.0, -5.0)
+"""Steps of the wall clock: as after a long outage of time synchronization, and as a correction."""
 
 
 class FaultKind(StrEnum):
-    """What a fault does, to one target or to all."""
+    """What a fault does, to one target or to all. A plan draws from them by their order."""
 
     STOP_SIDECAR = "SIGTERM, then a new process"
     KILL_SIDECAR = "SIGKILL, then a new process"
     RELOAD_SIDECAR = "SIGHUP with a new address of discovery"
-    RELOAD_BROKEN = "SIGHUP with a configuration that cannot be read"
+    RELOAD_UNREADABLE = "SIGHUP with a configuration that cannot be read"
     PAUSE_SIDECAR = "SIGSTOP for a moment"
     STEP_WALL_CLOCK = "a step of the wall clock of all machines"
     ACCEPT_FAILS = "accept fails"
@@ -33,64 +41,74 @@
     SHORT_TRANSFERS = "short reads and writes"
     INTERRUPTED_CALLS = "interrupted calls"
     SERVER_MISBEHAVES = "an account server misbehaves"
-    SECOND_ANSWERS = "account servers send second answers"
-    SERVER_RESTARTS = "an account server dies and returns cold"
-    SERVER_DRAINS = "an account server drains, is removed, and returns cold under another name"
-    NETWORK_SILENT = "the network swallows everything"
-    NETWORK_SLOW = "the network delays and cuts up what passes"
+    DUPLICATE_RESPONSES = "account servers send duplicate responses"
+    SERVER_RESTARTS = "an account server crashes and restarts"
+    SERVER_DRAINS = "an account server drains, is removed, and is replaced by a new one"
+    NETWORK_BLACK_HOLE = "the network drops everything"
+    NETWORK_SLOW = "the network delays and fragments data"
     NETWORK_RESETS = "the network resets connections"
-    NETWORK_LATE = "connections come up late"
-    WATCHES_SILENT = "open watches of discovery fall silent"
-    DISCOVERY_RESETS = "calls to discovery are reset"
+    NETWORK_SLOW_CONNECT = "connections are established late"
+    WATCHES_SILENT = "open watches of discovery stop responding"
+    DISCOVERY_RESETS = "connections to discovery are reset"
     DISCOVERY_DOWN = "discovery is down"
-    CLIENTS_LEAVE = "the clients of a sidecar leave at once"
+    CLIENTS_DISCONNECT = "all clients of a sidecar disconnect at once"
     CLIENTS_MISBEHAVE = "clients misbehave more often"
-    CLIENTS_PIPELINE = "clients send many requests at once"
+    CLIENTS_PIPELINE = "clients pipeline many requests"
 
 
 @dataclass(frozen=True, slots=True)
 class PlannedFault:
-    """A fault that is to come. What it hits is chosen by `choice` among what there is then."""
+    """A fault that is to come. Its target is chosen by `choice` among those that exist then."""
 
     kind: FaultKind
-    starts_at: float
+    starts_at_seconds: float
     seconds: float
     choice: float
-    """From 0 to 1: the target."""
+    """From 0 to 1: which target."""
     strength: float
-    """From 0 to 1: how bad it is."""
+    """From 0 to 1: how severe."""
 
 
 def draw_fault_plan(random: Random, seconds: float) -> list[PlannedFault]:
-    """Draw clusters of faults that overlap, in the order of their starts."""
+    """Draw clusters of overlapping faults, in the order of their starts."""
     faults: list[PlannedFault] = []
-    last_start = seconds - QUIET_SECONDS - MAX_FAULT_SECONDS
-    at = WARM_UP_SECONDS
-    while at < last_start:
-        choice = random.random()
-        for _ in range(random.randint(2, MAX_FAULTS_PER_CLUSTER)):
-            hits_same_target = random.random() < 0.6
-            fault = PlannedFault(
-                kind=random.choice(list(FaultKind)),
-                starts_at=min(last_start, at + random.random()),
-                seconds=random.uniform(0.2, MAX_FAULT_SECONDS),
-                choice=choice if hits_same_target else random.random(),
-                strength=random.random(),
-            )
-            faults.append(fault)
-        at += random.expovariate(1 / CLUSTER_INTERVAL_SECONDS)
-    return sorted(faults, key=lambda fault: fault.starts_at)
+    last_start_seconds = seconds - FAULT_FREE_END_SECONDS - MAX_FAULT_SECONDS
+    cluster_start_seconds = FAULT_FREE_START_SECONDS
+    while cluster_start_seconds < last_start_seconds:
+        faults += _draw_cluster(random, cluster_start_seconds, last_start_seconds)
+        cluster_start_seconds += random.expovariate(1 / CLUSTER_INTERVAL_SECONDS)
+    return sorted(faults, key=lambda fault: fault.starts_at_seconds)
+
+
+def _draw_cluster(random: Random, start_seconds: float, last_start_seconds: float) -> list[PlannedFault]:
+    """Draw faults that start close together; the order of the draws is part of a seed."""
+    cluster_choice = random.random()
+    faults = []
+    for _ in range(random.randint(MIN_FAULTS_PER_CLUSTER, MAX_FAULTS_PER_CLUSTER)):
+        hits_target_of_cluster = random.random() < SAME_TARGET_PROBABILITY
+        fault = PlannedFault(
+            kind=random.choice(list(FaultKind)),
+            starts_at_seconds=min(
+                last_start_seconds, start_seconds + CLUSTER_SPREAD_SECONDS * random.random()
+            ),
+            seconds=random.uniform(MIN_FAULT_SECONDS, MAX_FAULT_SECONDS),
+            choice=cluster_choice if hits_target_of_cluster else random.random(),
+            strength=random.random(),
+        )
+        faults.append(fault)
+    return faults
 
 
 def wall_clock_step_seconds(strength: float) -> float:
-    """Return a step: an hour or some seconds, forward or back."""
-    steps = (3600.0, -3600.0, 5.0, -5.0)
-    return steps[min(len(steps) - 1, int(strength * len(steps)))]
+    """Return the step that a strength stands for."""
+    index = int(strength * len(WALL_CLOCK_STEPS_SECONDS))
+    return WALL_CLOCK_STEPS_SECONDS[min(len(WALL_CLOCK_STEPS_SECONDS) - 1, index)]
 
 
 def describe(deployment: Deployment, plan: list[PlannedFault]) -> str:
     """Describe a soak in one line."""
+    discovery = "polled" if deployment.is_discovery_polled else "pushed"
     return (
         f"{deployment.sidecar_count} sidecars, {deployment.server_count} account servers, "
-        f"discovery {'polled' if deployment.is_discovery_polled else 'pushed'}, {len(plan)} faults"
+        f"discovery {discovery}, {len(plan)} faults"
     )
--- a/soak/fleet.py
+++ b/soak/fleet.py
@@ -5,24 +5,29 @@
 import asyncio
 import contextlib
 import signal
-import socket
 from dataclasses import dataclass
 from pathlib import Path
 from random import Random
 
-from soak.account_server import AccountServer, ServerIdentity
-from soak.client_load import ClientLoad
+from soak.account_server.server import AccountServer, ServerIdentity
+from soak.clients.load import ClientLoad
 from soak.deployment import CELLS_PER_ZONE, ZONES, Deployment
-from soak.discovery_agent import DiscoveryAgent, EndpointDirectory, Health
+from soak.discovery.agent import DiscoveryAgent
+from soak.discovery.endpoint_directory import EndpointDirectory
 from soak.errors import SidecarNotReadyError
-from soak.fault_proxy import Address
-from soak.history import HarnessClock, History
-from soak.sidecar_process import SidecarProcess
-from soak.syscall_faults import SyscallFaults
+from soak.history.clock import HarnessClock
+from soak.history.events import EndpointHealth
+from soak.history.history import History
+from soak.network.loopback import agent_host, free_address, server_host, sidecar_host
+from soak.sidecar.process import SidecarProcess
+from soak.sidecar.syscall_faults import SyscallFaults
 
 READY_TIMEOUT_SECONDS = 30.0
+"""Seconds in which all sidecars have to become ready: they start at once and compete for the processor."""
 STOP_TIMEOUT_SECONDS = 6.0
-MEASURE_INTERVAL_SECONDS = 0.25
+"""Seconds that a graceful shutdown may take at the end: longer than any client waits."""
+SAMPLE_INTERVAL_SECONDS = 0.25
+"""Seconds between two samples of what the processes use."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -34,47 +39,52 @@
 
 
 class Fleet:
-    """Everything that runs in a soak."""
+    """Everything that runs in a soak.
 
-    def __init__(self, deployment: Deployment, history: History, random: Random, directory: Path) -> None:
+    Attributes:
+        servers: the account servers that neither drain nor are removed.
+        members: the sidecars with their clients.
+    """
+
+    def __init__(self, deployment: Deployment, history: History, random: Random, files: Path) -> None:
         self.deployment = deployment
         self.history = history
         self.clock = HarnessClock()
-        self.directory = EndpointDirectory(self.clock)
+        self.directory = EndpointDirectory()
         self.servers: list[AccountServer] = []
-        """Those that neither drain nor are removed."""
         self.members: list[Member] = []
         self._all_servers: list[AccountServer] = []
         self._random = random
-        self._files = directory
+        self._files = files
         self._tasks: list[asyncio.Task[None]] = []
 
     async def start(self, fault_library: Path) -> None:
-        """Start servers, then sidecars, then clients. Raises SidecarNotReadyError."""
+        """Start the account servers, then the sidecars.
+
+        Raises:
+            SidecarNotReadyError: a sidecar does not become ready.
+        """
         for index in range(self.deployment.server_count):
             zone = ZONES[index % len(ZONES)]
             cell = index % (len(ZONES) * CELLS_PER_ZONE)
-            identity = ServerIdentity(f"s{index}", zone, cell, self._next_server_host())
-            await self._add(identity, is_cold=False)
+            await self._start_server(f"s{index}", zone, cell, needs_warm_up=False)
         for index in range(self.deployment.sidecar_count):
             self.members.append(await self._make_member(index, fault_library))
-        async with asyncio.TaskGroup() as group:
-            for member in self.members:
-                group.create_task(self._start_member(member))
-        self._tasks.append(asyncio.create_task(self._measure()))
+        await self._start_sidecars()
+        self._tasks.append(asyncio.create_task(self._sample_processes()))
 
     def start_load(self) -> None:
-        """Let the clients begin."""
+        """Start the clients."""
         self._tasks += [asyncio.create_task(member.load.run()) for member in self.members]
 
-    async def add_server(self, like: AccountServer) -> AccountServer:
-        """Start a cold server in the place of another, under a name of its own."""
-        name = f"{like.identity.name.partition('-')[0]}-{len(self._all_servers)}"
-        identity = ServerIdentity(name, like.identity.zone, like.identity.cell, self._next_server_host())
-        return await self._add(identity, is_cold=True)
+    async def replace_server(self, server: AccountServer) -> None:
+        """Start a server that warms up in the place of another, under a name of its own."""
+        original_name = server.identity.name.partition("-")[0]
+        name = f"{original_name}-{len(self._all_servers)}"
+        await self._start_server(name, server.identity.zone, server.identity.cell, needs_warm_up=True)
 
     async def stop_load(self) -> None:
-        """Let no further client begin, and wait for those under way."""
+        """Start no further client, and wait for those that have started."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
@@ -83,8 +93,7 @@
     async def stop(self) -> None:
         """End all processes and servers."""
         for member in self.members:
-            member.sidecar.agent.note_overdue()
-            member.sidecar.measure()
+            self._sample(member.sidecar)
             member.sidecar.send_signal(signal.SIGTERM)
         for member in self.members:
             if not await member.sidecar.wait_until_ended(STOP_TIMEOUT_SECONDS):
@@ -94,64 +103,64 @@
             if server.is_running:
                 server.stop()
 
-    def _next_server_host(self) -> str:
-        index = len(self._all_servers)
-        return f"127.2.{index // 250}.{index % 250 + 1}"
-
-    async def _add(self, identity: ServerIdentity, is_cold: bool) -> AccountServer:
-        server = AccountServer(
-            identity, self.deployment, self.clock, self.history, Random(self._random.random())
-        )
-        await server.start(is_cold)
+    async def _start_server(self, name: str, zone: str, cell: int, needs_warm_up: bool) -> None:
+        identity = ServerIdentity(name, zone, cell, server_host(len(self._all_servers)))
+        random = Random(self._random.random())
+        server = AccountServer(identity, self.deployment, self.clock, self.history, random)
+        await server.start(needs_warm_up)
         self.servers.append(server)
         self._all_servers.append(server)
-        self.directory.set_health(server, Health.UP)
-        return server
+        self.directory.set_health(server, EndpointHealth.UP)
 
     async def _make_member(self, index: int, fault_library: Path) -> Member:
+        """Make a sidecar that has not been started, with its discovery agent and its clients."""
         name = f"n{index}"
         random = Random(self._random.random())
         agent = DiscoveryAgent(
-            name,
-            f"127.3.0.{index + 1}",
-            self.deployment.is_discovery_polled,
-            self.directory,
-            self.clock,
-            self.history,
-            random,
+            sidecar=name,
+            host=agent_host(index),
+            is_polled=self.deployment.is_discovery_polled,
+            directory=self.directory,
+            clock=self.clock,
+            history=self.history,
+            random=random,
         )
         await agent.start()
         sidecar = SidecarProcess(
-            index,
-            _free_address(index),
-            self.deployment,
-            agent,
-            self.clock,
-            self.history,
-            self._files,
-            SyscallFaults(fault_library, self._files / f"{name}.faults"),
+            position=index,
+            address=free_address(sidecar_host(index)),
+            deployment=self.deployment,
+            agent=agent,
+            clock=self.clock,
+            history=self.history,
+            directory=self._files,
+            faults=SyscallFaults(fault_library, self._files / f"{name}.faults"),
         )
         load = ClientLoad(sidecar, self.deployment, self.clock, self.history, random)
         return Member(sidecar, load)
 
-    async def _start_member(self, member: Member) -> None:
-        await member.sidecar.start()
-        if not await member.sidecar.wait_until_ready(READY_TIMEOUT_SECONDS):
-            raise SidecarNotReadyError(member.sidecar.name, "see its log")
+    async def _start_sidecars(self) -> None:
+        """Start all sidecars at once. Raises SidecarNotReadyError if one does not become ready."""
+        sidecars = [member.sidecar for member in self.members]
+        readiness = await asyncio.gather(*(_start(sidecar) for sidecar in sidecars))
+        for sidecar, is_ready in zip(sidecars, readiness, strict=True):
+            if not is_ready:
+                raise SidecarNotReadyError(sidecar.name)
 
-    async def _measure(self) -> None:
+    async def _sample_processes(self) -> None:
         with contextlib.suppress(asyncio.CancelledError):
             while True:
-                await asyncio.sleep(MEASURE_INTERVAL_SECONDS)
+                await asyncio.sleep(SAMPLE_INTERVAL_SECONDS)
                 for member in self.members:
-                    member.sidecar.measure()
-                    member.sidecar.agent.note_overdue()
+                    self._sample(member.sidecar)
+
+    def _sample(self, sidecar: SidecarProcess) -> None:
+        """Record what a sidecar uses, and what it has to know of the endpoint list by now."""
+        sidecar.record_resource_usage()
+        sidecar.agent.record_overdue()
 
 
-def _free_address(index: int) -> Address:
-    """Return a free address: a host of its own, so that no outgoing connection takes its port meanwhile."""
-    host = f"127.1.{index // 250}.{index % 250 + 1}"
-    with socket.socket() as probe:
-        probe.bind((host, 0))
-        port: int = probe.getsockname()[1]
-        return host, port
+async def _start(sidecar: SidecarProcess) -> bool:
+    """Start a sidecar and return whether it became ready."""
+    await sidecar.start()
+    return await sidecar.wait_until_ready(READY_TIMEOUT_SECONDS)
--- /dev/null
+++ b/soak/history/__init__.py
@@ -0,0 +1,1 @@
+"""What happened during a soak: the recorded events and the clock that dates them."""
--- /dev/null
+++ b/soak/invariants/attempts.py
@@ -0,0 +1,139 @@
+"""Invariants of the attempts that reach account servers."""
+
+from __future__ import annotations
+
+import itertools
+import math
+from collections.abc import Iterator
+from dataclasses import dataclass
+
+from soak.deployment import DeduplicationScope, Deployment, Idempotency, RequestClass
+from soak.history.events import Attempt, ClientRequest
+from soak.history.history import History
+from soak.invariants.exemptions import was_stopped
+from soak.invariants.tolerances import OBSERVATION_ORDER_SECONDS, SOCKET_SLACK_SECONDS
+from soak.invariants.violation import Invariant, Violation, request_violation
+
+MAX_PROCESS_STALL_SECONDS = 0.15
+"""Seconds for which a sidecar may be stalled between reading its clock and writing."""
+DISCONNECT_GRACE_SECONDS = 0.1
+"""Seconds after its client has disconnected for which an attempt may still start."""
+DEADLINE_SLACK_SECONDS = 0.15
+"""Seconds by which the announced remaining time may exceed what the client has left."""
+
+
+@dataclass(frozen=True, slots=True)
+class _Location:
+    """Where an account server is; it decides which servers share a record of idempotency keys."""
+
+    zone: str
+    cell: int
+
+    def shares_keys_with(self, other: _Location, scope: DeduplicationScope) -> bool:
+        """Return whether servers at both places drop each other's repeats."""
+        if scope == DeduplicationScope.ALL:
+            return True
+        if self.zone != other.zone:
+            return False
+        return scope == DeduplicationScope.ZONE or self.cell == other.cell
+
+
+def check_retries(history: History, deployment: Deployment) -> Iterator[Violation]:
+    """No request is attempted too often, twice at once, or again where that may execute it twice."""
+    locations = {
+        incarnation.server: _Location(incarnation.zone, incarnation.cell) for incarnation in history.servers
+    }
+    for request_id, attempts in history.attempts_by_request().items():
+        request = history.requests.get(request_id)
+        if request is None:
+            message = f"no client sent {request_id}"
+            at_seconds = attempts[0].received_at_seconds
+            yield Violation(Invariant.DUPLICATE_EXECUTION, message, at_seconds, tuple(attempts))
+            continue
+        if len(attempts) > deployment.max_attempts:
+            message = f"{len(attempts)} attempts"
+            at_seconds = attempts[-1].received_at_seconds
+            yield request_violation(Invariant.ATTEMPT_LIMIT, message, at_seconds, request)
+        request_class = deployment.request_class(request.request_class)
+        for earlier, later in itertools.pairwise(attempts):
+            yield from _check_overlap(history, request, earlier, later)
+            if earlier.may_have_executed:
+                yield from _check_repeat(history, request, request_class, earlier, later, locations)
+
+
+def _observation_slack_seconds(history: History, earlier: Attempt, later: Attempt) -> float:
+    end_seconds = later.received_at_seconds + OBSERVATION_ORDER_SECONDS
+    return OBSERVATION_ORDER_SECONDS + history.lag_seconds_within(earlier.received_at_seconds, end_seconds)
+
+
+def _check_overlap(
+    history: History, request: ClientRequest, earlier: Attempt, later: Attempt
+) -> Iterator[Violation]:
+    """Yield a violation if both attempts were in flight at once."""
+    slack_seconds = _observation_slack_seconds(history, earlier, later)
+    if (earlier.ended_at_seconds or math.inf) > later.received_at_seconds + slack_seconds:
+        message = "sent while another attempt was in flight"
+        yield request_violation(Invariant.CONCURRENT_ATTEMPTS, message, later.received_at_seconds, request)
+
+
+def _check_repeat(
+    history: History,
+    request: ClientRequest,
+    request_class: RequestClass,
+    earlier: Attempt,
+    later: Attempt,
+    locations: dict[str, _Location],
+) -> Iterator[Violation]:
+    """Yield violations if the later attempt may have executed the request a second time."""
+
+    def violation(message: str) -> Violation:
+        return request_violation(Invariant.DUPLICATE_EXECUTION, message, later.received_at_seconds, request)
+
+    if request_class.idempotency == Idempotency.NOT_IDEMPOTENT:
+        yield violation("sent again though it may have executed")
+    elif request_class.idempotency == Idempotency.IDEMPOTENCY_KEY:
+        apart_seconds = later.received_at_seconds - earlier.received_at_seconds
+        limit_seconds = request_class.deduplication_window_seconds + MAX_PROCESS_STALL_SECONDS
+        limit_seconds += _observation_slack_seconds(history, earlier, later)
+        if apart_seconds > limit_seconds:
+            yield violation(f"sent again {apart_seconds:.2f} s later")
+        first = locations[earlier.server]
+        second = locations[later.server]
+        if not first.shares_keys_with(second, request_class.deduplication_scope):
+            yield violation("sent again outside its deduplication scope")
+
+
+def check_disconnected_clients(history: History, _deployment: Deployment) -> Iterator[Violation]:
+    """No attempt starts for a client that has disconnected."""
+    for attempt in history.attempts:
+        request = history.requests.get(attempt.request_id)
+        if request is None or request.disconnected_at_seconds is None:
+            continue
+        start_seconds = request.disconnected_at_seconds
+        end_seconds = attempt.received_at_seconds
+        limit_seconds = DISCONNECT_GRACE_SECONDS + SOCKET_SLACK_SECONDS
+        limit_seconds += history.lag_seconds_within(start_seconds, end_seconds)
+        late_seconds = end_seconds - start_seconds
+        is_late = late_seconds > limit_seconds
+        if is_late and not was_stopped(history, request.sidecar, start_seconds, end_seconds):
+            message = f"an attempt came {late_seconds:.2f} s after the client had disconnected"
+            yield request_violation(Invariant.DISCONNECTED_CLIENT, message, end_seconds, request)
+
+
+def check_deadline_propagation(history: History, _deployment: Deployment) -> Iterator[Violation]:
+    """An attempt announces no more remaining time to its server than its client has left."""
+    for attempt in history.attempts:
+        request = history.requests.get(attempt.request_id)
+        if request is None:
+            continue
+        received_at_seconds = attempt.received_at_seconds
+        remaining_seconds = request.deadline_seconds - received_at_seconds
+        slack_seconds = DEADLINE_SLACK_SECONDS + SOCKET_SLACK_SECONDS
+        slack_seconds += history.lag_seconds_within(
+            request.sent_at_seconds - OBSERVATION_ORDER_SECONDS,
+            received_at_seconds + OBSERVATION_ORDER_SECONDS,
+        )
+        announced_seconds = attempt.propagated_timeout_seconds
+        if announced_seconds > max(0.0, remaining_seconds) + slack_seconds:
+            message = f"announced {announced_seconds:.2f} s where {remaining_seconds:.2f} s were left"
+            yield request_violation(Invariant.DEADLINE_PROPAGATION, message, received_at_seconds, request)
--- /dev/null
+++ b/soak/invariants/processes.py
@@ -0,0 +1,138 @@
+"""Invariants of the sidecar processes: their life cycle, limits, logs, malformed peers and recovery."""
+
+from __future__ import annotations
+
+import signal
+from collections.abc import Iterator
+from http import HTTPStatus
+
+from soak.deployment import Deployment
+from soak.history.events import ClientRequest, MalformedPeer, SidecarIncarnation
+from soak.history.history import History
+from soak.invariants.exemptions import was_stopped
+from soak.invariants.tolerances import SOCKET_SLACK_SECONDS
+from soak.invariants.violation import Invariant, Violation
+
+MAX_START_SECONDS = 10.0
+"""Seconds in which a process has to become ready, also while sockets are short."""
+EXPECTED_EXIT_STATUSES = (0, -signal.SIGKILL)
+"""A process ends in order, or is killed by the soak."""
+ALARMS = (
+    "Traceback",
+    "ERROR",
+    "CRITICAL",
+    "invariant_violated",
+    "never awaited",
+    "never retrieved",
+)
+"""A log line with one of these texts reports a defect of the sidecar."""
+EXPECTED_ERRORS = ("reload_failed",)
+"""A log line with one of these texts reports an injected fault, not a defect."""
+MALFORMED_PEER_SECONDS = 3.0
+"""Seconds within which a peer that sends no valid request has to get an error or a close."""
+MALFORMED_PEER_WATCH_SECONDS = 4.0
+"""Seconds from the connection on in which a stop of the process exempts it from responding."""
+SUCCESS_STATUS_PREFIX = "HTTP/1.1 2"
+RECOVERY_SECONDS = 3.0
+"""Seconds at the end of the soak, without faults, in which each sidecar has to serve again."""
+MIN_RECOVERED_SHARE = 0.5
+"""Share of the requests in that time that has to be served; the rest may be shed."""
+MIN_RECOVERY_REQUESTS = 8
+"""Requests; from fewer no share is computed."""
+MAX_REPORTED_REQUESTS = 5
+"""Requests that a violation of the recovery reports as examples."""
+
+
+def check_processes(history: History, deployment: Deployment) -> Iterator[Violation]:
+    """No process ends by itself, starts late, exceeds a limit or logs an error."""
+    for incarnation in history.sidecars:
+        yield from _check_life_cycle(incarnation)
+        yield from _check_limits(incarnation, deployment)
+        yield from _check_log(incarnation)
+
+
+def _check_life_cycle(incarnation: SidecarIncarnation) -> Iterator[Violation]:
+    started_at_seconds = incarnation.started_at_seconds
+    ready_at_seconds = incarnation.ready_at_seconds
+    ended_at_seconds = incarnation.ended_at_seconds
+    was_asked_to_end = (
+        incarnation.stop_requested_at_seconds is not None or incarnation.killed_at_seconds is not None
+    )
+    if ended_at_seconds is not None:
+        has_expected_status = incarnation.exit_status in EXPECTED_EXIT_STATUSES
+        if not was_asked_to_end or not has_expected_status:
+            message = f"ended with status {incarnation.exit_status}"
+            yield Violation(Invariant.PROCESS, message, ended_at_seconds, (incarnation,))
+    if ready_at_seconds is None:
+        if not was_asked_to_end:
+            yield Violation(Invariant.PROCESS, "never became ready", started_at_seconds, (incarnation,))
+    elif ready_at_seconds - started_at_seconds > MAX_START_SECONDS:
+        yield Violation(Invariant.PROCESS, "became ready late", ready_at_seconds, (incarnation,))
+
+
+def _check_limits(incarnation: SidecarIncarnation, deployment: Deployment) -> Iterator[Violation]:
+    at_seconds = incarnation.started_at_seconds
+    if incarnation.max_descriptors > deployment.max_descriptors:
+        message = f"{incarnation.max_descriptors} descriptors"
+        yield Violation(Invariant.RESOURCE_LIMIT, message, at_seconds, (incarnation,))
+    if incarnation.max_memory_megabytes > deployment.memory_megabytes:
+        message = f"{incarnation.max_memory_megabytes:.0f} MB"
+        yield Violation(Invariant.RESOURCE_LIMIT, message, at_seconds, (incarnation,))
+
+
+def _check_log(incarnation: SidecarIncarnation) -> Iterator[Violation]:
+    at_seconds = incarnation.ended_at_seconds or incarnation.started_at_seconds
+    for line in incarnation.log.splitlines():
+        is_alarm = any(alarm in line for alarm in ALARMS)
+        is_expected = any(error in line for error in EXPECTED_ERRORS)
+        if is_alarm and not is_expected:
+            yield Violation(Invariant.LOG, line, at_seconds, (incarnation,))
+
+
+def check_malformed_peers(history: History, _deployment: Deployment) -> Iterator[Violation]:
+    """A peer that sends no valid request gets an error or a close in time, and is never served."""
+    for peer in history.malformed_peers:
+        if peer.first_bytes.startswith(SUCCESS_STATUS_PREFIX):
+            message = "was served"
+            yield Violation(Invariant.MALFORMED_PEER, message, peer.connected_at_seconds, (peer,))
+        if not _is_handled_in_time(history, peer):
+            message = "got neither error nor close"
+            yield Violation(Invariant.MALFORMED_PEER, message, peer.connected_at_seconds, (peer,))
+
+
+def _is_handled_in_time(history: History, peer: MalformedPeer) -> bool:
+    connected_at_seconds = peer.connected_at_seconds
+    watch_end_seconds = connected_at_seconds + MALFORMED_PEER_WATCH_SECONDS
+    if peer.first_bytes or was_stopped(history, peer.sidecar, connected_at_seconds, watch_end_seconds):
+        return True
+    if peer.ended_at_seconds is None:
+        return False
+    limit_seconds = MALFORMED_PEER_SECONDS + SOCKET_SLACK_SECONDS
+    limit_seconds += history.lag_seconds_within(
+        connected_at_seconds, connected_at_seconds + MALFORMED_PEER_SECONDS
+    )
+    return peer.ended_at_seconds - connected_at_seconds <= limit_seconds
+
+
+def check_recovery(history: History, _deployment: Deployment) -> Iterator[Violation]:
+    """Once all faults are over, each sidecar serves again."""
+    since_seconds = history.ended_at_seconds - RECOVERY_SECONDS
+    requests_by_sidecar: dict[str, list[ClientRequest]] = {}
+    for request in history.requests.values():
+        if request.sent_at_seconds >= since_seconds and request.disconnected_at_seconds is None:
+            requests_by_sidecar.setdefault(request.sidecar, []).append(request)
+    for sidecar in {incarnation.sidecar for incarnation in history.sidecars}:
+        requests = requests_by_sidecar.get(sidecar, [])
+        served_count = sum(request.status == HTTPStatus.OK for request in requests)
+        if not _has_recovered(served_count, len(requests)):
+            message = f"{sidecar} served {served_count} of {len(requests)} requests after the faults"
+            examples = tuple(requests[:MAX_REPORTED_REQUESTS])
+            yield Violation(Invariant.RECOVERY, message, history.ended_at_seconds, examples)
+
+
+def _has_recovered(served_count: int, request_count: int) -> bool:
+    if request_count == 0:
+        return False
+    if request_count < MIN_RECOVERY_REQUESTS:
+        return True
+    return served_count >= MIN_RECOVERED_SHARE * request_count
--- /dev/null
+++ b/soak/invariants/responses.py
@@ -0,0 +1,96 @@
+"""Invariants of the responses that clients get."""
+
+from __future__ import annotations
+
+from collections.abc import Iterator
+from http import HTTPStatus
+
+from soak.deployment import Deployment
+from soak.history.events import ClientRequest, ConnectionEnd
+from soak.history.history import History
+from soak.invariants.exemptions import is_keep_alive_race, was_killed
+from soak.invariants.tolerances import LATE_RESPONSE_SECONDS, OBSERVATION_ORDER_SECONDS
+from soak.invariants.violation import Invariant, Violation, request_violation
+
+MIN_MISMATCH_LAG_SECONDS = 0.004
+"""Seconds. A lag of the soak that delays a duplicate response beyond the milliseconds that are allowed."""
+MISMATCH_LAG_WINDOW_SECONDS = 0.5
+"""Seconds before a response in which such a lag may have delayed a duplicate response."""
+REJECTION_STATUSES = (HTTPStatus.TOO_MANY_REQUESTS, HTTPStatus.SERVICE_UNAVAILABLE)
+
+
+def check_final_responses(history: History, _deployment: Deployment) -> Iterator[Violation]:
+    """Each request gets one final response in time, unless its client left or its process was killed."""
+    for request in history.requests.values():
+        was_sent = request.sent_at_seconds != 0.0
+        if not was_sent or request.disconnected_at_seconds is not None or was_killed(history, request):
+            continue
+        violation = _final_response_violation(history, request)
+        if violation is not None:
+            yield violation
+
+
+def _final_response_violation(history: History, request: ClientRequest) -> Violation | None:
+    limit_seconds = max(request.deadline_seconds, request.blocked_until_seconds) + LATE_RESPONSE_SECONDS
+    limit_seconds += history.lag_seconds_within(request.sent_at_seconds, limit_seconds)
+    if request.answered_at_seconds is not None:
+        if request.answered_at_seconds <= limit_seconds:
+            return None
+        late_seconds = request.answered_at_seconds - request.deadline_seconds
+        return request_violation(
+            Invariant.FINAL_RESPONSE, f"came {late_seconds:.2f} s late", request.answered_at_seconds, request
+        )
+    if request.end is None:
+        return request_violation(Invariant.FINAL_RESPONSE, "never came", limit_seconds, request)
+    if request.end == ConnectionEnd.TRUNCATED_RESPONSE or is_keep_alive_race(history, request):
+        return None
+    ended_at_seconds = request.ended_at_seconds or request.sent_at_seconds
+    after_seconds = ended_at_seconds - request.sent_at_seconds
+    message = f"connection {request.end.value} {after_seconds:.3f} s after the request"
+    return request_violation(Invariant.FINAL_RESPONSE, message, ended_at_seconds, request)
+
+
+def check_response_origin(history: History, _deployment: Deployment) -> Iterator[Violation]:
+    """A successful response was made by an account server for this very request."""
+    bodies_by_request: dict[str, set[str]] = {}
+    for attempt in history.attempts:
+        bodies_by_request.setdefault(attempt.request_id, set()).add(attempt.body)
+    for request in history.requests.values():
+        if request.status != HTTPStatus.OK:
+            continue
+        if request.body in bodies_by_request.get(request.request_id, set()):
+            continue
+        at_seconds = request.answered_at_seconds or request.sent_at_seconds
+        if not _may_be_late_duplicate_response(history, at_seconds):
+            message = "no server made this response for it"
+            yield request_violation(Invariant.RESPONSE_ORIGIN, message, at_seconds, request)
+
+
+def _may_be_late_duplicate_response(history: History, at_seconds: float) -> bool:
+    """Return whether a lag of the soak delayed a duplicate response beyond the time that is allowed.
+
+    Where one is taken for the response to the next request, that request's response goes to the one after it.
+    """
+    start_seconds = at_seconds - MISMATCH_LAG_WINDOW_SECONDS
+    if history.longest_lag_seconds_within(start_seconds, at_seconds) < MIN_MISMATCH_LAG_SECONDS:
+        return False
+    return any(fault.sends_duplicate_responses for fault in history.faults_within(start_seconds, at_seconds))
+
+
+def check_rejections(history: History, deployment: Deployment) -> Iterator[Violation]:
+    """A rejection promises that a retry is harmless: nothing may have executed that must not run twice."""
+    attempts_by_request = history.attempts_by_request()
+    for request in history.requests.values():
+        if request.status not in REJECTION_STATUSES or request.answered_at_seconds is None:
+            continue
+        if deployment.request_class(request.request_class).may_always_execute_again:
+            continue
+        latest_seconds = request.answered_at_seconds - OBSERVATION_ORDER_SECONDS
+        executed = [
+            attempt
+            for attempt in attempts_by_request.get(request.request_id, [])
+            if attempt.may_have_executed and attempt.received_at_seconds < latest_seconds
+        ]
+        if executed:
+            message = f"rejected after {len(executed)} attempts may have executed"
+            yield request_violation(Invariant.REJECTION, message, request.answered_at_seconds, request)
--- /dev/null
+++ b/soak/network/__init__.py
@@ -0,0 +1,1 @@
+"""The network between sidecars and account servers, with its faults."""
--- /dev/null
+++ b/soak/network/sockets.py
@@ -0,0 +1,22 @@
+"""Addresses, and closing a connection by a reset."""
+
+from __future__ import annotations
+
+import asyncio
+import socket
+import struct
+
+Address = tuple[str, int]
+"""A host and a port."""
+
+LINGER_OFF_RESET = struct.pack("ii", 1, 0)
+"""SO_LINGER without a time: closing resets the connection (socket(7))."""
+
+
+def reset_transport(transport: asyncio.Transport) -> None:
+    """Close a connection by a reset."""
+    if transport.is_closing():
+        return
+    connection = transport.get_extra_info("socket")
+    connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_OFF_RESET)
+    transport.abort()
--- a/soak/report.py
+++ b/soak/report.py
@@ -1,16 +1,26 @@
-"""What a soak reports: broken invariants with their history, and figures of the whole run."""
+"""What a soak reports: the violations with their history, and figures of the entire run."""
 
 from __future__ import annotations
 
 from collections import Counter
 from dataclasses import dataclass
+from http import HTTPStatus
 from typing import Any
 
-from soak.history import History, to_json
-from soak.invariants import Violation, relevant_events
+from soak.history.events import to_json
+from soak.history.history import History
+from soak.invariants.evidence import relevant_events
+from soak.invariants.responses import REJECTION_STATUSES
+from soak.invariants.violation import Violation
 
-MAX_REPORTED = 20
-"""Violations whose history is written out."""
+MAX_REPORTED_VIOLATIONS = 20
+"""Violations that are reported one by one; more of a run have the same causes."""
+MAX_TEXT_CHARACTERS = 300
+"""Characters of a text in the report: bodies and logs are cut."""
+NO_STATUS = 0
+"""The status of a request without a response."""
+
+Figures = dict[str, int | float]
 
 
 @dataclass(frozen=True, slots=True)
@@ -24,71 +34,78 @@
     violations: list[Violation]
     injected_call_faults: int
 
-    def figures(self) -> dict[str, int | float]:
-        """Return counts of the whole run."""
-        requests = self.history.requests.values()
-        statuses = Counter(request.status for request in requests)
+    def figures(self) -> Figures:
+        """Return counts of the entire run."""
+        history = self.history
+        requests = history.requests.values()
+        lag_seconds = sum(lag.seconds for lag in history.lags)
         return {
             "requests": len(requests),
-            "served": statuses[200],
-            "refused": statuses[429] + statuses[503],
-            "failed": sum(n for status, n in statuses.items() if status not in (0, 200, 429, 503)),
-            "left": sum(request.left_at is not None for request in requests),
-            "resent": sum(bool(request.resent_from) for request in requests),
-            "attempts": len(self.history.attempts),
-            "processes": len(self.history.sidecars),
-            "server_starts": len(self.history.servers),
-            "malformed_peers": len(self.history.malformed_peers),
-            "faults": len(self.history.faults),
+            **self._outcome_figures(),
+            "disconnected": sum(request.disconnected_at_seconds is not None for request in requests),
+            "retried": sum(request.retried_after is not None for request in requests),
+            "attempts": len(history.attempts),
+            "processes": len(history.sidecars),
+            "server_starts": len(history.servers),
+            "malformed_peers": len(history.malformed_peers),
+            "faults": len(history.faults),
             "system_call_faults": self.injected_call_faults,
-            "harness_lag_seconds": round(sum(lag.ended_at - lag.began_at for lag in self.history.lags), 3),
+            "harness_lag_seconds": round(lag_seconds, 3),
         }
 
-    def broken(self) -> dict[str, int]:
-        """Return how often each invariant was broken."""
-        return dict(Counter(violation.invariant for violation in self.violations))
+    def violation_counts(self) -> dict[str, int]:
+        """Return how often each invariant was violated."""
+        return dict(Counter(violation.invariant.value for violation in self.violations))
 
     def to_json(self) -> dict[str, Any]:
-        """Return the whole report; the history of each violation is the part that shows it."""
+        """Return the complete report; the history of each violation is the part that shows it."""
         return {
             "seed": self.seed,
             "seconds": self.seconds,
             "deployment": self.description,
             "figures": self.figures(),
-            "broken": self.broken(),
+            "broken": self.violation_counts(),
             "violations": [
                 {
-                    "invariant": violation.invariant,
+                    "invariant": violation.invariant.value,
                     "message": violation.message,
-                    "at": round(violation.at, 3),
-                    "history": _shorten(to_json(relevant_events(self.history, violation))),
+                    "at": round(violation.at_seconds, 3),
+                    "history": self._evidence(violation),
                 }
-                for violation in self.violations[:MAX_REPORTED]
+                for violation in self.violations[:MAX_REPORTED_VIOLATIONS]
             ],
             "faults": to_json(self.history.faults),
         }
 
     def to_text(self) -> str:
         """Return the report for a reader."""
-        lines = [f"seed {self.seed}, {self.seconds:g} s: {self.description}"]
-        lines.append(", ".join(f"{name} {value}" for name, value in self.figures().items()))
+        lines = [
+            f"seed {self.seed}, {self.seconds:g} s: {self.description}",
+            ", ".join(f"{name} {value}" for name, value in self.figures().items()),
+        ]
         if not self.violations:
             lines.append("no invariant was broken")
             return "\n".join(lines)
-        lines.append(f"broken: {self.broken()}; play again with --seed {self.seed}")
+        lines.append(f"broken: {self.violation_counts()}; run it again with --seed {self.seed}")
         lines += [
-            f"- {violation.at:.2f} s, {violation.invariant}: {violation.message}"
-            for violation in self.violations[:MAX_REPORTED]
+            f"- {violation.at_seconds:.2f} s, {violation.invariant.value}: {violation.message}"
+            for violation in self.violations[:MAX_REPORTED_VIOLATIONS]
         ]
-        first = self.violations[0]
         lines.append("history of the first:")
-        lines += [f"    {event}" for event in _shorten(to_json(relevant_events(self.history, first)))]
+        lines += [f"    {event}" for event in self._evidence(self.violations[0])]
         return "\n".join(lines)
 
+    def _outcome_figures(self) -> Figures:
+        statuses = Counter(request.status for request in self.history.requests.values())
+        served = statuses.pop(HTTPStatus.OK, 0)
+        rejected = sum(statuses.pop(status, 0) for status in REJECTION_STATUSES)
+        statuses.pop(NO_STATUS, 0)
+        return {"served": served, "rejected": rejected, "failed": statuses.total()}
+
+    def _evidence(self, violation: Violation) -> list[dict[str, Any]]:
+        events = to_json(relevant_events(self.history, violation))
+        return [{name: _shorten(value) for name, value in event.items()} for event in events]
+
 
-def _shorten(events: list[dict[str, Any]], max_characters: int = 300) -> list[dict[str, Any]]:
-    """Cut long texts, as bodies and logs are."""
-    return [
-        {name: value[:max_characters] if isinstance(value, str) else value for name, value in event.items()}
-        for event in events
-    ]
+def _shorten(value: object) -> object:
+    return value[:MAX_TEXT_CHARACTERS] if isinstance(value, str) else value
--- /dev/null
+++ b/soak/sidecar/__init__.py
@@ -0,0 +1,1 @@
+"""The sidecars under test: their configuration, their processes and the system calls that fail in them."""
--- /dev/null
+++ b/tests/soak/invariants/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of the invariants: each check finds what it is for, and nothing else."""
--- /dev/null
+++ b/tests/soak/invariants/test_attempts.py
@@ -0,0 +1,53 @@
+"""Tests of the invariants of attempts."""
+
+from __future__ import annotations
+
+from typing import Any
+
+import pytest
+
+from soak.deployment import DeduplicationScope
+from soak.history.events import AttemptEnd
+from soak.invariants.attempts import (
+    check_deadline_propagation,
+    check_disconnected_clients,
+    check_retries,
+)
+from tests.soak.histories import SENT_AT_SECONDS, attempt, deployment, history, request, unanswered
+
+
+@pytest.mark.parametrize(
+    ("request_class", "first", "second", "is_broken"),
+    [
+        ("read", {}, {"after_seconds": 0.2, "server": "s2"}, False),
+        ("read", {"ended_at_seconds": SENT_AT_SECONDS + 0.9}, {"after_seconds": 0.2}, True),
+        ("invoice", {}, {"after_seconds": 0.2}, True),
+        ("invoice", {"end": AttemptEnd.REJECTED}, {"after_seconds": 0.2}, False),
+        ("change", {}, {"after_seconds": 0.2, "server": "s1"}, False),
+        ("change", {}, {"after_seconds": 0.2, "server": "s2"}, True),
+        ("change", {}, {"after_seconds": 0.7, "server": "s1"}, True),
+    ],
+)
+def test_retry(request_class: str, first: dict[str, Any], second: dict[str, Any], is_broken: bool) -> None:
+    given = history(request(request_class), attempt(**first), attempt(**second))
+    violations = list(check_retries(given, deployment(deduplication_scope=DeduplicationScope.ZONE)))
+    assert bool(violations) == is_broken
+
+
+def test_attempts_beyond_the_limit_and_of_no_client_are_found() -> None:
+    many = [attempt(after_seconds=0.1 * index) for index in range(5)]
+    assert list(check_retries(history(request(), *many), deployment()))
+    assert list(check_retries(history(attempt()), deployment()))
+
+
+@pytest.mark.parametrize(("after_seconds", "is_broken"), [(0.15, False), (0.4, True)])
+def test_attempt_for_disconnected_client(after_seconds: float, is_broken: bool) -> None:
+    disconnected = unanswered(disconnected_at_seconds=SENT_AT_SECONDS + 0.1)
+    given = history(disconnected, attempt(after_seconds=after_seconds))
+    assert bool(list(check_disconnected_clients(given, deployment()))) == is_broken
+
+
+@pytest.mark.parametrize(("announced_seconds", "is_broken"), [(0.8, False), (0.95, False), (1.1, True)])
+def test_deadline_propagation(announced_seconds: float, is_broken: bool) -> None:
+    given = history(request(), attempt(after_seconds=0.2, propagated_timeout_seconds=announced_seconds))
+    assert bool(list(check_deadline_propagation(given, deployment()))) == is_broken
--- /dev/null
+++ b/tests/soak/invariants/test_endpoint_list.py
@@ -0,0 +1,33 @@
+"""Tests of the invariant of the endpoint list."""
+
+from __future__ import annotations
+
+import pytest
+
+from soak.history.events import EndpointHealth, EndpointNotification
+from soak.invariants.endpoint_list import check_drains
+from tests.soak.histories import SENT_AT_SECONDS, attempt, deployment, history, request
+
+DRAINING = EndpointHealth.DRAINING
+REMOVED = EndpointHealth.REMOVED
+UP = EndpointHealth.UP
+
+
+@pytest.mark.parametrize(
+    ("notifications", "is_broken"),
+    [
+        ([], False),
+        ([(DRAINING, 0.5)], False),
+        ([(DRAINING, 2.0)], True),
+        ([(DRAINING, 2.0), (REMOVED, 0.5)], True),
+        ([(DRAINING, 2.0), (UP, 0.5)], False),
+    ],
+)
+def test_drain(notifications: list[tuple[EndpointHealth, float]], is_broken: bool) -> None:
+    events = [
+        EndpointNotification("n0", "s0", health, SENT_AT_SECONDS - before_seconds)
+        for health, before_seconds in notifications
+    ]
+    of_other_sidecar = EndpointNotification("n1", "s0", DRAINING, 1.0)
+    given = history(request(), attempt(), *events, of_other_sidecar)
+    assert bool(list(check_drains(given, deployment()))) == is_broken
--- a/tests/soak/test_fault_plan.py
+++ b/tests/soak/test_fault_plan.py
@@ -5,7 +5,7 @@
 from random import Random
 
 from soak.deployment import draw_deployment
-from soak.fault_plan import QUIET_SECONDS, WARM_UP_SECONDS, draw_fault_plan
+from soak.fault_plan import FAULT_FREE_END_SECONDS, FAULT_FREE_START_SECONDS, draw_fault_plan
 
 
 def test_same_seed_gives_same_deployment_and_plan() -> None:
@@ -16,12 +16,16 @@
     assert drawn[0] == drawn[1]
 
 
-def test_faults_overlap_and_leave_both_ends_quiet() -> None:
+def test_faults_overlap_and_leave_start_and_end_without_faults() -> None:
     plan = draw_fault_plan(Random(5), 60.0)
-    assert min(fault.starts_at for fault in plan) >= WARM_UP_SECONDS
-    assert max(fault.starts_at + fault.seconds for fault in plan) <= 60.0 - QUIET_SECONDS
-    overlapping = [
-        sum(other.starts_at <= fault.starts_at < other.starts_at + other.seconds for other in plan)
+    assert min(fault.starts_at_seconds for fault in plan) >= FAULT_FREE_START_SECONDS
+    last_end_seconds = max(fault.starts_at_seconds + fault.seconds for fault in plan)
+    assert last_end_seconds <= 60.0 - FAULT_FREE_END_SECONDS
+    overlap_counts = [
+        sum(
+            other.starts_at_seconds <= fault.starts_at_seconds < other.starts_at_seconds + other.seconds
+            for other in plan
+        )
         for fault in plan
     ]
-    assert sorted(overlapping)[len(plan) // 2] >= 3
+    assert sorted(overlap_counts)[len(plan) // 2] >= 3
