--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -16,6 +16,7 @@
 from soak.runner import MAX_SECONDS, MIN_SECONDS, run_soak
 
 DEFAULT_SEED = 1
+"""Any number would do; a fixed one lets two runs without arguments be compared."""
 DEFAULT_SECONDS = 32.0
 """Seconds; about 15 of them with faults."""
 DESCRIPTION = """\
--- /dev/null
+++ b/soak/account_server/attempt_recorder.py
@@ -0,0 +1,81 @@
+"""Records the attempts that arrive on one connection of an account server."""
+
+from __future__ import annotations
+
+import asyncio
+
+from soak.account_server.http_messages import parse_headers
+from soak.history.clock import HarnessClock
+from soak.history.events import Attempt, AttemptEnd
+from soak.history.history import History
+from soak.network.arrival_log import ArrivalLog
+from soak.network.fault_proxy import FaultProxy
+
+
+class AttemptRecorder:
+    """Records the attempts of one connection; their times are those at the proxy in front of the server.
+
+    Attributes:
+        current: the attempt that is being processed, if there is one.
+    """
+
+    def __init__(
+        self, server: str, connection: int, clock: HarnessClock, history: History, proxy: FaultProxy
+    ) -> None:
+        self.current: Attempt | None = None
+        self._server = server
+        self._connection = connection
+        self._clock = clock
+        self._history = history
+        self._proxy = proxy
+        self._transport: asyncio.Transport | None = None
+        self._known_arrivals: ArrivalLog | None = None
+
+    def attach(self, transport: asyncio.Transport) -> None:
+        """Set the transport of the connection, by which its record at the proxy is found."""
+        self._transport = transport
+
+    def start(self, message: bytes, first_byte: int, last_byte: int) -> None:
+        """Record a new attempt from a request and its place on the connection, counted from 1."""
+        headers = parse_headers(message)
+        now_seconds = self._clock.now_seconds()
+        arrivals = self._arrivals()
+        self.current = Attempt(
+            request_id=headers.get("req-id", ""),
+            server=self._server,
+            connection=self._connection,
+            started_at_seconds=arrivals.time_of_byte_seconds(first_byte) if arrivals else now_seconds,
+            received_at_seconds=arrivals.time_of_byte_seconds(last_byte) if arrivals else now_seconds,
+            propagated_timeout_seconds=float(headers.get("req-deadline", "nan")),
+        )
+        self._history.attempts.append(self.current)
+
+    def end(self, end: AttemptEnd) -> None:
+        """Record the end of the current attempt, if there is one."""
+        if self.current is None:
+            return
+        end_times_seconds = [self._clock.now_seconds()]
+        arrivals = self._arrivals()
+        if arrivals is not None:
+            known_ends_seconds = (arrivals.closed_at_seconds, arrivals.reset_at_seconds)
+            end_times_seconds += [at_seconds for at_seconds in known_ends_seconds if at_seconds is not None]
+        self.current.end = end
+        self.current.ended_at_seconds = min(end_times_seconds)
+        self.current = None
+
+    def end_with_connection(self) -> None:
+        """Record that the current attempt has ended with its connection, by the sidecar or by a fault."""
+        arrivals = self._arrivals()
+        was_closed_by_sidecar = (
+            arrivals is not None
+            and arrivals.closed_at_seconds is not None
+            and arrivals.reset_at_seconds is None
+        )
+        self.end(AttemptEnd.CLOSED_BY_SIDECAR if was_closed_by_sidecar else AttemptEnd.BROKEN_BY_FAULT)
+
+    def _arrivals(self) -> ArrivalLog | None:
+        """Return what arrived at the proxy on this connection, if that is known."""
+        if self._known_arrivals is None and self._transport is not None:
+            peer = self._transport.get_extra_info("peername")
+            self._known_arrivals = self._proxy.arrivals_from(peer[1]) if peer else None
+        return self._known_arrivals
--- a/soak/account_server/connection.py
+++ b/soak/account_server/connection.py
@@ -1,4 +1,4 @@
-"""A connection of an account server: reads requests, records them as attempts and responds."""
+"""A connection of an account server: reads requests and responds as the fault of the server says."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 from random import Random
 from typing import cast
 
+from soak.account_server.attempt_recorder import AttemptRecorder
 from soak.account_server.http_messages import (
     EMPTY_RESPONSE,
     ERROR_RESPONSE,
     GARBAGE_RESPONSE,
     REJECTION_RESPONSE,
-    parse_headers,
     request_size_bytes,
     success_response,
     success_response_without_length,
@@ -20,9 +20,8 @@
 from soak.account_server.server_fault import ServerFault
 from soak.account_server.work_queue import WorkQueue
 from soak.history.clock import HarnessClock
-from soak.history.events import Attempt, AttemptEnd
+from soak.history.events import AttemptEnd
 from soak.history.history import History
-from soak.network.arrival_log import ArrivalLog
 from soak.network.fault_proxy import FaultProxy
 from soak.network.sockets import reset_transport
 
@@ -33,6 +32,7 @@
 MAX_FILLER_BYTES = 6000
 """Bytes; some responses exceed what one read of a socket returns."""
 FILLER = "x"
+"""Makes responses of different sizes; the letter is nowhere else in a response."""
 DUPLICATE_FILLER = "y"
 """Replaces the filler in a duplicate response, so that the two can be distinguished."""
 PROBE_PREFIXES = (b"GET /alive", b"GET /metrics/load")
@@ -65,22 +65,21 @@
 
     def __init__(self, state: ServerState, number: int) -> None:
         self._state = state
-        self._number = number
+        self._attempts = AttemptRecorder(state.name, number, state.clock, state.history, state.proxy)
         self._buffer = b""
         self._consumed_bytes = 0
         self._transport: asyncio.Transport | None = None
-        self._attempt: Attempt | None = None
-        self._known_arrivals: ArrivalLog | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Keep the transport."""
         self._transport = cast(asyncio.Transport, transport)
+        self._attempts.attach(self._transport)
         self._state.connections.add(self)
 
     def data_received(self, data: bytes) -> None:
         """Serve a request once it is complete."""
         self._buffer += data
-        while self._attempt is None:
+        while self._attempts.current is None:
             size_bytes = request_size_bytes(self._buffer)
             if size_bytes is None or len(self._buffer) < size_bytes:
                 return
@@ -93,35 +92,18 @@
     def connection_lost(self, _error: Exception | None) -> None:
         """End the attempt that is being processed."""
         self._state.connections.discard(self)
-        arrivals = self._arrivals()
-        was_closed_by_sidecar = (
-            arrivals is not None
-            and arrivals.closed_at_seconds is not None
-            and arrivals.reset_at_seconds is None
-        )
-        self._end_attempt(
-            AttemptEnd.CLOSED_BY_SIDECAR if was_closed_by_sidecar else AttemptEnd.BROKEN_BY_FAULT
-        )
+        self._attempts.end_with_connection()
 
     def abort(self) -> None:
         """Reset the connection."""
         if self._transport is not None:
             reset_transport(self._transport)
 
-    # ---- attempts
-
-    def _arrivals(self) -> ArrivalLog | None:
-        """Return what arrived at the proxy on this connection, if that is known."""
-        if self._known_arrivals is None and self._transport is not None:
-            peer = self._transport.get_extra_info("peername")
-            self._known_arrivals = self._state.proxy.arrivals_from(peer[1]) if peer else None
-        return self._known_arrivals
-
     def _serve(self, message: bytes, first_byte: int) -> None:
         if message.startswith(PROBE_PREFIXES):
             self._write(EMPTY_RESPONSE)
             return
-        self._start_attempt(message, first_byte)
+        self._attempts.start(message, first_byte, self._consumed_bytes)
         match self._state.fault:
             case ServerFault.HANG:
                 pass
@@ -129,49 +111,18 @@
                 self.abort()
             case ServerFault.REJECT:
                 self._write(REJECTION_RESPONSE)
-                self._end_attempt(AttemptEnd.REJECTED)
+                self._attempts.end(AttemptEnd.REJECTED)
             case _:
                 self._state.work_queue.add(self._respond)
 
-    def _start_attempt(self, message: bytes, first_byte: int) -> None:
-        """Record an attempt; its times are those of its arrival at the proxy."""
-        headers = parse_headers(message)
-        now_seconds = self._state.clock.now_seconds()
-        arrivals = self._arrivals()
-        started_at_seconds = arrivals.time_of_byte_seconds(first_byte) if arrivals else now_seconds
-        received_at_seconds = arrivals.time_of_byte_seconds(self._consumed_bytes) if arrivals else now_seconds
-        self._attempt = Attempt(
-            request_id=headers.get("req-id", ""),
-            server=self._state.name,
-            connection=self._number,
-            started_at_seconds=started_at_seconds,
-            received_at_seconds=received_at_seconds,
-            propagated_timeout_seconds=float(headers.get("req-deadline", "nan")),
-        )
-        self._state.history.attempts.append(self._attempt)
-
-    def _end_attempt(self, end: AttemptEnd) -> None:
-        if self._attempt is None:
-            return
-        end_times_seconds = [self._state.clock.now_seconds()]
-        arrivals = self._arrivals()
-        if arrivals is not None:
-            known_ends_seconds = (arrivals.closed_at_seconds, arrivals.reset_at_seconds)
-            end_times_seconds += [at_seconds for at_seconds in known_ends_seconds if at_seconds is not None]
-        self._attempt.end = end
-        self._attempt.ended_at_seconds = min(end_times_seconds)
-        self._attempt = None
-
-    # ---- responses
-
     def _respond(self) -> None:
-        attempt = self._attempt
+        attempt = self._attempts.current
         if attempt is None or self._transport is None or self._transport.is_closing():
             return
         filler = FILLER * self._state.random.randrange(MAX_FILLER_BYTES)
         attempt.body = f"{attempt.request_id} {self._state.next_execution_id()} {filler}"
         self._send_response(attempt.body.encode())
-        self._end_attempt(AttemptEnd.ANSWERED)
+        self._attempts.end(AttemptEnd.ANSWERED)
         self.data_received(b"")
 
     def _send_response(self, body: bytes) -> None:
--- a/soak/account_server/http_messages.py
+++ b/soak/account_server/http_messages.py
@@ -5,10 +5,15 @@
 from collections.abc import Mapping
 
 HEAD_END = b"\r\n\r\n"
+"""Ends the head of a message."""
 EMPTY_RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
+"""The response to a probe."""
 ERROR_RESPONSE = b"HTTP/1.1 500 Broken\r\nContent-Length: 0\r\n\r\n"
+"""The response of a server that fails after executing the request."""
 REJECTION_RESPONSE = b"HTTP/1.1 503 No\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n"
+"""The response of a server that has not executed the request, and says so."""
 GARBAGE_RESPONSE = b"HTTP/9 garbage\x00\r\n"
+"""Bytes that are no valid response."""
 
 
 def request_size_bytes(data: bytes) -> int | None:
--- a/soak/account_server/server.py
+++ b/soak/account_server/server.py
@@ -19,6 +19,7 @@
 SLOW_FACTOR = 8.0
 """Factor by which a slow server takes longer."""
 LISTEN_HOST = "127.0.0.1"
+"""Only the proxy connects to it."""
 NANOSECONDS_PER_MILLISECOND = 1_000_000
 
 
--- a/soak/clients/load.py
+++ b/soak/clients/load.py
@@ -25,11 +25,13 @@
 SLOW_WRITE_CUTS = 3
 """Cuts of a request that is written in pieces."""
 MIN_PIPELINED_REQUESTS = 2
+"""Requests; from two on the second waits for the response to the first."""
 MAX_PIPELINED_REQUESTS = 24
 """Requests; more than a sidecar processes at once on one connection."""
 BURSTS = (1, 1, 1, 1, 1, 1, 2, 2, 4, 6)
 """Requests that arrive at once, drawn with equal chances: most alone, some in bursts."""
 MEAN_BURST = sum(BURSTS) / len(BURSTS)
+"""Requests of a burst on average."""
 
 
 class ClientLoad:
--- a/soak/clients/malformed_client.py
+++ b/soak/clients/malformed_client.py
@@ -14,6 +14,7 @@
 WATCH_SECONDS = 4.0
 """Seconds for which such a client waits for the sidecar to close: longer than the sidecar may take."""
 MAX_GARBAGE_BYTES = 200
+"""Bytes; less than a sidecar buffers of a request's head."""
 FLOOD_BYTES = 200_000
 """Bytes; more than a sidecar buffers of a request's head."""
 FLOOD_RESET_PROBABILITY = 0.5
--- a/soak/deployment.py
+++ b/soak/deployment.py
@@ -7,8 +7,11 @@
 from random import Random
 
 ZONES = ("zone-a", "zone-b")
+"""Two, so that some traffic crosses zones."""
 CELLS_PER_ZONE = 2
+"""Two, so that deduplication by zone and by cell differ."""
 TENANTS = ("tenant-a", "tenant-b")
+"""The tenants of the requests, drawn with equal chances."""
 
 MIN_SIDECARS = 10
 """Processes; from here on the quota of one is small enough for their choices to collide."""
--- a/soak/discovery/endpoint_directory.py
+++ b/soak/discovery/endpoint_directory.py
@@ -14,6 +14,7 @@
 """Called with the name of a server and its new health."""
 
 FULL_CAPACITY_SHARE = 1.0
+"""Each server reports all of its capacity for this deployment."""
 
 
 @dataclass(slots=True)
--- a/soak/fault_injection/client_faults.py
+++ b/soak/fault_injection/client_faults.py
@@ -10,6 +10,7 @@
 from soak.fleet import Fleet
 
 MISBEHAVIOURS = (*MALFORMED_BEHAVIOURS, Behaviour.DISCONNECTS, Behaviour.RESETS)
+"""What clients do more often under a fault."""
 MAX_MISBEHAVIOUR_WEIGHT = 15.0
 """Weight of each misbehaviour under the strongest fault, where that of ordinary clients is 80."""
 MAX_PIPELINE_WEIGHT = 20.0
--- a/soak/fault_injection/targets.py
+++ b/soak/fault_injection/targets.py
@@ -12,6 +12,7 @@
 """Injects a fault, waits for its end and returns a description of its target."""
 
 InjectionsByKind = Mapping[FaultKind, Injection]
+"""The injections of one class, by the kind of fault."""
 
 
 def choose_member(fleet: Fleet, fault: PlannedFault) -> Member:
--- a/soak/fault_plan.py
+++ b/soak/fault_plan.py
@@ -13,13 +13,17 @@
 FAULT_FREE_END_SECONDS = 12.0
 """Seconds without faults at the end, for the fleet to recover: longer than a server takes to warm up."""
 MIN_FAULT_SECONDS = 0.2
+"""Seconds that a fault lasts at least: long enough to meet some requests."""
 MAX_FAULT_SECONDS = 3.0
+"""Seconds that a fault lasts at most: longer than any client waits."""
 CLUSTER_INTERVAL_SECONDS = 0.5
 """Mean seconds between two clusters of overlapping faults."""
 CLUSTER_SPREAD_SECONDS = 1.0
 """Seconds within which the faults of a cluster start."""
 MIN_FAULTS_PER_CLUSTER = 2
+"""Faults; two are needed to overlap."""
 MAX_FAULTS_PER_CLUSTER = 4
+"""Faults; with more the fleet serves too little to show defects."""
 SAME_TARGET_PROBABILITY = 0.6
 """Probability that a fault hits the target of its cluster, where faults that overlap interact."""
 WALL_CLOCK_STEPS_SECONDS = (3600.0, -3600.0, 5.0, -5.0)
--- a/soak/invariants/processes.py
+++ b/soak/invariants/processes.py
@@ -33,6 +33,7 @@
 MALFORMED_PEER_WATCH_SECONDS = 4.0
 """Seconds from the connection on in which a stop of the process exempts it from responding."""
 SUCCESS_STATUS_PREFIX = "HTTP/1.1 2"
+"""The first bytes of a response that serves a request."""
 RECOVERY_SECONDS = 3.0
 """Seconds at the end of the soak, without faults, in which each sidecar has to serve again."""
 MIN_RECOVERED_SHARE = 0.5
--- a/soak/invariants/registry.py
+++ b/soak/invariants/registry.py
@@ -25,6 +25,7 @@
     check_malformed_peers,
     check_recovery,
 )
+"""All checks; a new invariant is added here."""
 
 
 def check_all(history: History, deployment: Deployment) -> list[Violation]:
--- a/soak/invariants/responses.py
+++ b/soak/invariants/responses.py
@@ -17,6 +17,7 @@
 MISMATCH_LAG_WINDOW_SECONDS = 0.5
 """Seconds before a response in which such a lag may have delayed a duplicate response."""
 REJECTION_STATUSES = (HTTPStatus.TOO_MANY_REQUESTS, HTTPStatus.SERVICE_UNAVAILABLE)
+"""The statuses by which a sidecar rejects a request without having it executed."""
 
 
 def check_final_responses(history: History, _deployment: Deployment) -> Iterator[Violation]:
--- a/soak/mutants.py
+++ b/soak/mutants.py
@@ -160,3 +160,4 @@
         "timeout_seconds = 60.0",
     ),
 )
+"""All mutants."""
--- a/soak/mutation_testing.py
+++ b/soak/mutation_testing.py
@@ -25,11 +25,13 @@
 
 REPOSITORY_ROOT = Path(__file__).parent.parent
 COPIED_FOLDERS = ("balancer", "soak")
+"""What a soak needs of the repository."""
 SOAK_TIMEOUT_SECONDS = 240
 """Seconds after which a soak counts as hanging; it includes the start and the end of its processes."""
 MAX_SECONDS = 180.0
 """Seconds of the longest soak: it has to end well before it counts as hanging."""
 DEFAULT_SECONDS = 32.0
+"""Seconds; as of a soak by default."""
 DEFAULT_SEEDS = (1, 2, 3, 4)
 """Several, as a run takes place in real time and a defect does not show in each."""
 MAX_MESSAGE_CHARACTERS = 150
--- a/soak/report.py
+++ b/soak/report.py
@@ -21,6 +21,7 @@
 """The status of a request without a response."""
 
 Figures = dict[str, int | float]
+"""Counts and sums by their names."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/soak/sidecar/readiness.py
+++ b/soak/sidecar/readiness.py
@@ -9,7 +9,9 @@
 RESPONSE_TIMEOUT_SECONDS = 1.0
 """Seconds; a process that takes longer is not ready."""
 READINESS_REQUEST = b"GET /up HTTP/1.1\r\nHost: sidecar\r\nConnection: close\r\n\r\n"
+"""The request of the readiness check."""
 SUCCESS_STATUS = b" 200 "
+"""Part of the status line of a ready sidecar."""
 
 
 async def is_ready(address: Address) -> bool:
--- a/soak/sidecar/settings_document.py
+++ b/soak/sidecar/settings_document.py
@@ -26,6 +26,7 @@
 NOT_IDEMPOTENT_PRIORITY = 5.0
 """Priority weight of requests that must not be repeated: a failure of these costs most."""
 DEFAULT_PRIORITY = 3.0
+"""Priority weight of all other requests."""
 
 
 def settings_document(deployment: Deployment, position: int) -> dict[str, Any]:
--- a/soak/sidecar/syscall_faults.py
+++ b/soak/sidecar/syscall_faults.py
@@ -15,6 +15,7 @@
 from soak.errors import FaultLibraryError
 
 SOURCE = Path(__file__).with_name("syscall_faults.c")
+"""The source of the library."""
 BUILD_TIMEOUT_SECONDS = 60.0
 """Seconds; a compiler takes less than one, on a busy machine some."""
 
