--- a/balancer/sidecar/http/buffer_budget.py
+++ b/balancer/sidecar/http/buffer_budget.py
@@ -1,4 +1,4 @@
-"""A bound on the bytes of response bodies that several connections buffer together."""
+"""A limit on the bytes of response bodies that several connections buffer together."""
 
 from __future__ import annotations
 
@@ -10,10 +10,12 @@
     """Counts the buffered bytes of all responses in flight that share it."""
 
     max_bytes: int
+    """The limit."""
     used_bytes: int = 0
+    """The bytes that are reserved at present."""
 
     def reserve(self, size_bytes: int) -> bool:
-        """Count these bytes as buffered. False, and nothing is counted, where they do not fit."""
+        """Reserve bytes to be buffered. Returns False, and reserves none, if they do not fit."""
         used_bytes = self.used_bytes + size_bytes
         if used_bytes > self.max_bytes:
             return False
@@ -21,5 +23,5 @@
         return True
 
     def release(self, size_bytes: int) -> None:
-        """Give back bytes that were reserved."""
+        """Release bytes that were reserved."""
         self.used_bytes -= size_bytes
--- a/balancer/sidecar/http/outbound_connection.py
+++ b/balancer/sidecar/http/outbound_connection.py
@@ -1,4 +1,4 @@
-"""One HTTP/1.1 client connection."""
+"""An HTTP/1.1 connection of which the sidecar is the client."""
 
 from __future__ import annotations
 
@@ -16,15 +16,16 @@
 from balancer.sidecar.runtime.sockets import shut_down_socket
 
 ResponseCallback: TypeAlias = Callable[[HttpResponse | None], None]
-"""Gets the response, or None where the connection broke or the response is unusable."""
+"""Gets the response, or None if the connection was lost or the response is unusable."""
 
 
 class OutboundConnection(asyncio.Protocol):
-    """Carries one request at a time and never sends a request again by itself.
+    """Carries one request at a time, and never retries a request by itself.
 
-    `on_lost` is called once the connection is lost, which comes at least one turn of the event loop after
-    `close`. `budget` limits what the bodies of responses in flight may buffer; without one this connection
-    has a budget of its own, of the largest response.
+    Args:
+        on_lost: called once the connection is lost, at least one turn of the event loop after `close`.
+        budget: limits the bytes that the bodies of responses in flight may buffer; by default the connection
+            has a budget of its own, of the largest response.
     """
 
     def __init__(
@@ -34,40 +35,41 @@
     ) -> None:
         self._on_lost = on_lost
         self._parser = ResponseParser(budget or BufferBudget(MAX_RESPONSE_BODY_BYTES))
-        self._on_response: ResponseCallback | None = None  # set while a request is in flight
+        self._on_response: ResponseCallback | None = None
+        """Set while a request is in flight."""
         self._file_descriptor = -1
         self._poll = select.poll()
         self.transport: asyncio.Transport | None = None
-        """Set from when the connection is made until it is lost."""
+        """Set from when the connection is established until it is lost."""
         self.is_established = False
-        """Whether the connection was made; stays true after it is lost."""
+        """Whether the connection was established; stays true after it is lost."""
         self.max_body_bytes = MAX_RESPONSE_BODY_BYTES
-        """The longest body that the response to the next request may have."""
+        """Limit in bytes on the body of the response to the next request."""
         self.address: Address | None = None
-        """Address that its owner connected it to."""
+        """The address that its owner connected it to."""
         self.idle_since_ns = 0
-        """When its owner last put it into a pool, by the owner's clock."""
+        """When its owner last returned it to a pool, by the owner's clock."""
 
     @property
     def buffer_budget(self) -> BufferBudget:
-        """The budget that the bodies of its responses count against."""
+        """Return the budget that the bodies of its responses count against."""
         return self._parser.budget
 
     @property
     def response_started(self) -> bool:
-        """Whether any byte of the response to the last request has been received."""
+        """Return whether any byte of the response to the last request has been received."""
         return self._parser.received_bytes > 0
 
     @property
     def has_unsent_bytes(self) -> bool:
-        """Whether a part of the request is not written yet. Closed now, the request is never executed."""
+        """Return whether a part of the request is unsent. If closed now, the request is never executed."""
         return self.transport is not None and self.transport.get_write_buffer_size() > 0
 
     def is_reusable(self) -> bool:
-        """Whether the connection is open and the peer has sent nothing since the last response.
+        """Return whether the connection is open and the peer has sent nothing since the last response.
 
-        The end of the peer's side may still be unread in the kernel. A request written after it would be lost
-        to a reset, after which it may have been executed: so the socket itself is asked.
+        The socket is polled, as the end of the peer's side may still be unread in the kernel. A request
+        written after it would be answered with a reset, and might count as executed.
         """
         transport = self.transport
         return transport is not None and not transport.is_closing() and not self._poll.poll(0)
@@ -75,9 +77,9 @@
     def send(self, data: bytes, on_response: ResponseCallback) -> bool:
         """Write a request. `on_response` is called once, unless the connection is closed before.
 
-        Returns False where the last byte of the request certainly was not sent; then `on_response` is not
-        called. The request is written to the socket itself, as the transport does not tell how much of it the
-        kernel took.
+        Returns False if the last byte of the request was certainly not sent; then `on_response` is not
+        called. The request is written to the socket itself, as the transport does not report how many bytes
+        the kernel accepted.
         """
         transport = self.transport
         if transport is None or transport.is_closing():
@@ -92,11 +94,11 @@
             return False
         self._on_response = on_response
         if written_bytes < len(data):
-            transport.write(data[written_bytes:])  # from here on a lost connection may have sent all of it
+            transport.write(data[written_bytes:])  # from now on, all of it may be sent before a loss
         return True
 
     def close(self) -> None:
-        """Close the connection. A request in flight is abandoned, and its callback is not called."""
+        """Close the connection. A request in flight is abandoned without calling its callback."""
         was_in_flight = self._on_response is not None
         self._on_response = None
         self._parser.release_buffer()
@@ -105,15 +107,15 @@
     # ---- callbacks of the event loop
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the transport of the connection that was made."""
-        # uvloop's transports have the methods but are no subclasses of asyncio's: nothing to check by type.
+        """Store the transport of the connection, which is established."""
+        # uvloop's transports are not subclasses of asyncio's, so their type can't be checked.
         self.transport = cast(asyncio.Transport, transport)
         self.is_established = True
         self._file_descriptor = self.transport.get_extra_info("socket").fileno()
         self._poll.register(self._file_descriptor, select.POLLIN)
 
     def data_received(self, data: bytes) -> None:
-        """Take a part of the response."""
+        """Parse a part of the response."""
         if self._on_response is None:
             self.close()  # a response to no request
             return
@@ -126,9 +128,9 @@
             self._complete_request(response, keep_open=self._parser.keeps_connection)
 
     def eof_received(self) -> None:
-        """Take the end of the peer's side, after which the transport closes.
+        """Handle the end of the peer's side, after which the transport closes.
 
-        A reset is not reported here, but one may have followed at once.
+        It may complete a response. A reset is not reported here, but one may have followed at once.
         """
         response = self._parser.response_at_end_of_connection()
         if response is not None and not self._has_socket_error():
@@ -145,6 +147,7 @@
         return any(events & select.POLLERR for _, events in self._poll.poll(0))
 
     def _complete_request(self, response: HttpResponse | None, *, keep_open: bool) -> None:
+        """Report the response, or its absence, to the request in flight if there is one."""
         on_response = self._on_response
         self._on_response = None
         self._parser.release_buffer()
@@ -158,7 +161,7 @@
         if transport is None:
             return
         if was_in_flight and not transport.is_closing():
-            # The event loop closes the socket in its next turn only. A further attempt may be written before
-            # that, and two copies of the request would be in flight: so this one ends now.
+            # The event loop closes the socket in its next turn only. A retry may be written before, and two
+            # copies of the request would be in flight.
             shut_down_socket(self._file_descriptor, socket.SHUT_RDWR)
         transport.abort()
--- a/balancer/sidecar/http/request.py
+++ b/balancer/sidecar/http/request.py
@@ -1,8 +1,8 @@
 """The head of a client's HTTP/1.1 request: a strict grammar and its parser (RFC 9110, RFC 9112).
 
-Whatever two parsers could read in two ways is rejected (RFC 9112, section 11.2, on request smuggling), and of
-the header fields only those that the sidecar knows are kept: an endpoint must not see another request in the
-bytes than the sidecar saw.
+A request that two parsers could read in two ways is rejected (RFC 9112, section 11.2, on request smuggling),
+and only the header fields that the sidecar knows are kept: an endpoint must not find another request in the
+bytes than the sidecar did.
 """
 
 from __future__ import annotations
@@ -15,15 +15,24 @@
 from balancer.sidecar.http.message import MAX_HEAD_BYTES, MAX_REQUEST_BODY_BYTES
 
 END_OF_HEAD = b"\r\n\r\n"
+"""The end of the last header line and the empty line."""
+
+# Names of the header fields of the sidecar's own protocol, in lower case.
 
-# Header fields of the sidecar's own protocol, in lower case.
 REQUEST_CLASS_FIELD = b"req-kind"
+"""The request class, by its name in the settings."""
 REQUEST_ID_FIELD = b"req-id"
+"""The client's id of the request."""
 TENANT_FIELD = b"req-owner"
+"""The tenant, by its name in the settings."""
 DEADLINE_FIELD = b"req-deadline"
+"""The time that the client waits for the response, in decimal seconds."""
 RETRY_FIELD = b"req-retry"
+"""`1` if the client sends the request again."""
 WORK_HINT_FIELD = b"req-cost"
+"""The client's estimate of the work, in microseconds."""
 IDEMPOTENCY_KEY_FIELD = b"idempotency-key"
+"""The key by which endpoints recognise a request that is sent again."""
 
 FORWARDED_FIELDS = (
     b"host",
@@ -34,7 +43,7 @@
     WORK_HINT_FIELD,
     b"req-extra",
 )
-"""The fields that go on to the endpoint as the client sent them."""
+"""The fields that are forwarded to the endpoint as the client sent them."""
 
 _KNOWN_FIELDS = frozenset(FORWARDED_FIELDS) | {
     b"connection",
@@ -45,22 +54,30 @@
     b"transfer-encoding",
     b"upgrade",
 }
-"""The fields that are kept. Each of them may come once; all others are dropped."""
+"""The fields that are kept. Each of them may appear once; all others are dropped."""
 
-# token (RFC 9110, section 5.6.2).
 _TOKEN = rb"[!#$%&'*+\-.^_`|~0-9A-Za-z]++"
-# request-line (RFC 9112, section 3), after at most one empty line (section 2.2). Single spaces only.
+"""token (RFC 9110, section 5.6.2)."""
+
 _REQUEST_LINE = re.compile(rb"(?:\r\n)?(" + _TOKEN + rb") ([\x21-\x7e]++) HTTP/1\.([01])\r\n")
-# field-line (RFC 9112, section 5) of a token, a colon without a space before it (section 5.1) and a
-# field-value (RFC 9110, section 5.5), each ended by CRLF; then the empty line. Excluded are folded lines
-# (RFC 9112, section 5.2), bare CR or LF (section 2.2) and control characters.
+"""request-line (RFC 9112, section 3), after at most one empty line (section 2.2), with single spaces only."""
+
 _HEADER_SECTION = re.compile(rb"(?:" + _TOKEN + rb":[\t\x20-\x7e\x80-\xff]*+\r\n)*+\r\n")
-# What the first bytes of a request may be while more are to come: the optional empty line, then a method.
+"""Any number of field-lines (RFC 9112, section 5), then the empty line.
+
+A field-line is a token, a colon without a space before it (section 5.1), a field-value (RFC 9110, section
+5.5) and CRLF. Folded lines (RFC 9112, section 5.2), bare CR or LF (section 2.2) and control characters are
+excluded.
+"""
+
 _REQUEST_START = re.compile(rb"\r?+\n?+(?:" + _TOKEN + rb"|\Z)")
-# request-target in origin-form (RFC 9112, section 3.2.1): a path and perhaps a query, no fragment.
+"""What the first bytes of an incomplete request may be: the optional empty line, then a method."""
+
 _ORIGIN_FORM = re.compile(rb"/[^#]*+")
-# Content-Length (RFC 9110, section 8.6): digits alone, of a length that int() takes in no time.
+"""request-target in origin-form (RFC 9112, section 3.2.1): a path and perhaps a query, no fragment."""
+
 _CONTENT_LENGTH = re.compile(rb"[0-9]{1,18}")
+"""Content-Length (RFC 9110, section 8.6): digits only, few enough for int() to take no time."""
 
 
 class HttpRequestError(ProtocolError):
@@ -68,7 +85,7 @@
 
     Attributes:
         status: the status code of the response.
-        reason: one plain line for the response's body; by default the status code's reason phrase.
+        reason: one plain line for the body of the response; by default the status code's reason phrase.
     """
 
     def __init__(self, status: HTTPStatus, reason: str = "") -> None:
@@ -98,12 +115,12 @@
 
     @property
     def path(self) -> bytes:
-        """The target without its query."""
+        """Return the target without its query."""
         return self.target.partition(b"?")[0]
 
 
 def check_partial_head(partial: bytes | bytearray) -> None:
-    """Raise HttpRequestError if no further bytes can make this beginning a valid head."""
+    """Check that further bytes may complete this beginning to a valid head. Raises HttpRequestError."""
     if len(partial) > MAX_HEAD_BYTES:
         has_request_line = b"\n" in partial
         raise HttpRequestError(
@@ -113,13 +130,13 @@
         )
     if not _REQUEST_START.match(partial):
         raise _malformed_request()
-    has_request_line = partial.find(b"\n", 2) > 0  # a line end before it is that of the optional empty line
+    has_request_line = partial.find(b"\n", 2) > 0  # an earlier line end is that of the optional empty line
     if has_request_line and not _REQUEST_LINE.match(partial):
         raise _malformed_request()
 
 
 def parse_request_head(raw: bytes) -> RequestHead:
-    """Parse a whole head, with the empty line that ends it. Raises HttpRequestError."""
+    """Parse a complete head, with the empty line that ends it. Raises HttpRequestError."""
     if len(raw) > MAX_HEAD_BYTES:
         is_target_too_long = raw.find(b"\r\n", 2) > MAX_HEAD_BYTES
         raise HttpRequestError(
@@ -153,7 +170,7 @@
 
 
 def _has_close_option(fields: dict[bytes, bytes]) -> bool:
-    """Whether the Connection field (RFC 9110, section 7.6.1) has the close option (RFC 9112, section 9.6)."""
+    """Return whether the Connection field (RFC 9110, section 7.6.1) has the option close (RFC 9112, 9.6)."""
     value = fields.get(b"connection")
     if value is None:
         return False
@@ -161,8 +178,8 @@
 
 
 def _parse_content_length(fields: dict[bytes, bytes]) -> int:
-    """Return the length of the body (RFC 9112, section 6.3), stated in the one way that is unambiguous."""
-    if b"upgrade" in fields:  # what follows would not be HTTP (RFC 9110, section 7.8)
+    """Return the length of the body (RFC 9112, section 6.3). Raises HttpRequestError if it is ambiguous."""
+    if b"upgrade" in fields:  # the following bytes would not be HTTP (RFC 9110, section 7.8)
         raise bad_request("upgrades are not served")
     stated_length = fields.get(b"content-length")
     transfer_coding = fields.get(b"transfer-encoding")
@@ -182,7 +199,7 @@
 
 
 def _parse_expectation(fields: dict[bytes, bytes]) -> bool:
-    """Whether the client expects 100 (Continue), the only expectation there is (RFC 9110, section 10.1.1)."""
+    """Return whether the client expects 100 (Continue), the only defined expectation (RFC 9110, 10.1.1)."""
     expectation = fields.get(b"expect")
     if expectation is None:
         return False
--- a/balancer/sidecar/http/response_parser.py
+++ b/balancer/sidecar/http/response_parser.py
@@ -1,7 +1,7 @@
-"""Parses the responses of account servers and enforces the limits on them.
+"""Parses the responses of account servers, and enforces the limits on them.
 
-A response is limited in the bytes of its head, of its body and of all that it takes on the wire and, together
-with the other responses in flight, by a `BufferBudget`.
+The head, the body and the bytes on the wire of a response are limited. All responses in flight together are
+limited by a `BufferBudget`.
 """
 
 from __future__ import annotations
@@ -14,10 +14,17 @@
 from balancer.sidecar.http.buffer_budget import BufferBudget
 from balancer.sidecar.http.message import MAX_HEAD_BYTES, MAX_RESPONSE_BODY_BYTES, Headers, HttpResponse
 
-FIRST_FINAL_STATUS = 200  # responses with a lower status are interim ones: another follows (RFC 9110, 15.2)
+FIRST_FINAL_STATUS = 200
+"""The lowest status of a final response; after one with a lower status another follows (RFC 9110, 15.2)."""
+
 STATUSES_WITHOUT_BODY = frozenset((HTTPStatus.NO_CONTENT, HTTPStatus.NOT_MODIFIED))
-MAX_WIRE_BYTES_PER_BODY_BYTE = 2  # chunked encoding adds to the bytes of a body
+"""Statuses of responses that have no body, whatever their headers state (RFC 9112, section 6.3)."""
+
+MAX_WIRE_BYTES_PER_BODY_BYTE = 2
+"""Limit on the bytes on the wire for each byte of a body: chunked encoding adds to them."""
+
 FRAMING_HEADERS = frozenset((b"content-length", b"transfer-encoding"))
+"""Headers that state how a body ends."""
 
 
 class ResponseError(ProtocolError):
@@ -25,7 +32,11 @@
 
 
 class MalformedResponseError(ResponseError):
-    """The bytes are no HTTP/1.1 response."""
+    """The bytes are not an HTTP/1.1 response.
+
+    Attributes:
+        reason: what the parser found.
+    """
 
     def __init__(self, reason: str) -> None:
         super().__init__(f"malformed response: {reason}")
@@ -33,7 +44,11 @@
 
 
 class AmbiguousLengthError(ResponseError):
-    """The head states the length of the body more than once."""
+    """The head states the length of the body more than once.
+
+    Attributes:
+        statements: the values of the headers.
+    """
 
     def __init__(self, statements: tuple[bytes, ...]) -> None:
         super().__init__(f"response states its length {len(statements)} times")
@@ -41,7 +56,12 @@
 
 
 class ResponseTooLargeError(ResponseError):
-    """The head, the body or the whole response exceeds its limit."""
+    """The head, the body or the entire response exceeds its limit.
+
+    Attributes:
+        size_bytes: the size.
+        max_bytes: its limit.
+    """
 
     def __init__(self, size_bytes: int, max_bytes: int) -> None:
         super().__init__(f"response part of {size_bytes} bytes exceeds its limit of {max_bytes} bytes")
@@ -50,7 +70,13 @@
 
 
 class BufferBudgetExceededError(ResponseError):
-    """All responses in flight together leave no room for more of this one."""
+    """The buffer budget of all responses in flight has no capacity for more of this one.
+
+    Attributes:
+        size_bytes: the bytes that do not fit.
+        used_bytes: the bytes in use at the time.
+        max_bytes: the limit of the budget.
+    """
 
     def __init__(self, size_bytes: int, budget: BufferBudget) -> None:
         super().__init__(
@@ -65,6 +91,14 @@
     """Parses one response at a time; a connection owns one and calls `begin_response` for each request.
 
     The methods `on_...` are the callbacks of httptools. An error raised in one of them ends the parsing.
+
+    Args:
+        budget: the budget that buffered bodies count against.
+
+    Attributes:
+        received_bytes: how many bytes of the response have been received.
+        keeps_connection: whether the connection may carry a further request; valid once the response is
+            complete.
     """
 
     def __init__(self, budget: BufferBudget) -> None:
@@ -73,33 +107,35 @@
         self.begin_response(MAX_RESPONSE_BODY_BYTES)
 
     def begin_response(self, max_body_bytes: int) -> None:
-        """Forget the last response and expect the next one."""
+        """Discard the last response, and expect the next one with a body of at most this length."""
         self._http_parser = httptools.HttpResponseParser(self)
         self._max_body_bytes = max_body_bytes
         self._response: HttpResponse | None = None
         self._status = 0
         self._headers: Headers = []
         self._body_chunks: list[bytes] = []
-        self._max_received_bytes = MAX_HEAD_BYTES  # until the head is complete
-        self._header_bytes = 0  # of the current head; then of the trailers
+        self._max_received_bytes = MAX_HEAD_BYTES
+        """Limit on `received_bytes`; it grows once the head is complete."""
+        self._header_bytes = 0
+        """Bytes of the headers of the current head, then of the trailers."""
         self._body_bytes = 0
         self._is_ended_by_connection = False
         self.received_bytes = 0
-        self.keeps_connection = False  # valid once the response is complete
+        self.keeps_connection = False
 
     def release_buffer(self) -> None:
-        """Give the bytes of the body back to the budget."""
+        """Return the bytes of the body to the budget."""
         self.budget.release(self._reserved_bytes)
         self._reserved_bytes = 0
 
     def feed(self, data: bytes) -> HttpResponse | None:
-        """Parse what has been received. Returns the response once it is complete.
+        """Parse bytes that have been received. Returns the response once it is complete.
 
-        What follows a complete response makes the connection unfit for a further request, not the response
-        invalid. Raises ResponseError.
+        Bytes after a complete response make the connection unfit for a further request, but the response
+        stays valid. Raises ResponseError.
         """
-        # The HTTP parser keeps an unfinished header to itself and skips chunk extensions: no callback counts
-        # them, so the raw bytes are limited as well.
+        # httptools buffers an incomplete header and skips chunk extensions without any callback, so the raw
+        # bytes are limited as well.
         self.received_bytes += len(data)
         error: ResponseError | None = None
         try:
@@ -126,21 +162,21 @@
     # ---- callbacks of httptools
 
     def on_message_begin(self) -> None:
-        """Begin an interim response, the response or, which makes the connection unfit, one after it."""
+        """Handle the start of a response; one after the complete response makes the connection unfit."""
         if self._response is not None:
             self.keeps_connection = False
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take a header of the head or a trailer of a chunked body."""
+        """Store a header of the head or a trailer of a chunked body."""
         if self._response is not None:
-            return  # of a response that follows
+            return  # a header of a response that follows
         self._header_bytes += len(name) + len(value)
         if self._header_bytes > MAX_HEAD_BYTES:
             raise ResponseTooLargeError(self._header_bytes, MAX_HEAD_BYTES)
         self._headers.append((name.lower(), value))
 
     def on_headers_complete(self) -> None:
-        """Decide how the body ends, and refuse at the head what states an unusable length."""
+        """Determine how the body ends, and refuse a response whose head states an unusable length."""
         if self._response is not None:
             return
         self._status = self._http_parser.get_status_code()
@@ -161,9 +197,9 @@
             raise ResponseTooLargeError(int(lengths[0]), self._max_body_bytes)
 
     def _begin_body_without_length(self) -> None:
-        """The end of the connection ends such a body (RFC 9112, section 6.3).
+        """Expect a body that the end of the connection ends (RFC 9112, section 6.3).
 
-        Where only the head counts that end is not waited for: it may never come.
+        An unsuccessful response is complete with its head: the end of the connection may never come.
         """
         if self._status == HTTPStatus.OK:
             self._is_ended_by_connection = True
@@ -173,7 +209,7 @@
     def on_body(self, body: bytes) -> None:
         """Buffer a part of the body."""
         if self._response is not None:
-            return  # of a response that follows, or after a head that counts alone
+            return  # the body of a response that follows, or of one that is complete with its head
         size_bytes = len(body)
         self._body_bytes += size_bytes
         if self._body_bytes > self._max_body_bytes:
@@ -184,14 +220,14 @@
         self._body_chunks.append(body)
 
     def on_message_complete(self) -> None:
-        """Complete the response, unless this was an interim one or follows it."""
+        """Complete the response, unless the message is an interim response or one that follows."""
         if self._response is not None:
             return
         if self._status < FIRST_FINAL_STATUS:
             self._headers = []
         else:
             self._response = self._build_response()
-            # Asked after this callback, httptools has forgotten the length and always says no.
+            # After this callback, httptools has dropped the length and always returns False.
             self.keeps_connection = self._http_parser.should_keep_alive()
 
 
