--- a/balancer/sidecar/upstream/health_check.py
+++ b/balancer/sidecar/upstream/health_check.py
@@ -14,21 +14,29 @@
 from balancer.sidecar.upstream.attempt import Attempt
 
 HEALTH_CHECK_TIMEOUT_SECONDS = 0.5
+"""Seconds after which a health check without a response has failed."""
 
 LoadReportParser: TypeAlias = Callable[[HttpResponse | None], tuple[float, ...]]
+"""Returns the load report of a response; () if there is none."""
 
 
 def build_health_check_request(asks_for_load: bool) -> bytes:
-    """Return the request of a health check, which asks for a load report where endpoints have one."""
+    """Return the request of a health check, which asks for a load report if endpoints have one."""
     path = "/metrics/load" if asks_for_load else "/alive"
     return f"GET {path} HTTP/1.1\r\nHost: backend.local\r\n\r\n".encode()
 
 
 class HealthCheck:
-    """Runs one attempt for at most `HEALTH_CHECK_TIMEOUT_SECONDS` and turns its outcome into an event.
+    """Runs one attempt for at most `HEALTH_CHECK_TIMEOUT_SECONDS`, and converts its outcome to an event.
 
-    `on_ended` is called exactly once, with this health check and its event. The health check begins as it is
-    made; `run` is called once, with an attempt whose completion callback is `on_attempt_completed`.
+    `run` is called once, with an attempt whose completion callback is `on_attempt_completed`.
+
+    Args:
+        endpoint_id: the endpoint.
+        loop: the event loop.
+        now_ns: returns the time of the sidecar's clock. The duration counts from the creation of this object.
+        parse_load_report: returns the load report of the response.
+        on_ended: called exactly once, with this health check and its event.
     """
 
     def __init__(
@@ -52,7 +60,7 @@
         attempt.start()
 
     def on_attempt_completed(self, outcome: AttemptOutcome, response: HttpResponse | None) -> None:
-        """Report the end of the attempt."""
+        """Report the result. A response of 503 rejects the health check, whatever its headers are."""
         self._timeout.cancel()
         if response is not None and response.status == HTTPStatus.SERVICE_UNAVAILABLE:
             outcome = AttemptOutcome.REJECTED
--- a/balancer/sidecar/upstream/load_report.py
+++ b/balancer/sidecar/upstream/load_report.py
@@ -8,17 +8,20 @@
 import re
 
 _PREFIX = "TEXT"
+"""Start of a report, which names its format."""
+
 _NUMBER = re.compile(r"[0-9]{1,15}(?:\.[0-9]{1,15})?(?:e-[0-9]{1,2})?", re.ASCII)
+"""A value of a report; float() alone would accept nan, inf, 1_0 and more."""
 
 
 def parse_load_report(text: bytes, fields: tuple[str, ...]) -> tuple[float, ...]:
-    """Return the values of a load report in the order of `fields`; () where any is missing or malformed."""
+    """Return the values of a load report in the order of `fields`; () if any is missing or malformed."""
     values: dict[str, float] = {}
     try:
         report = text.decode("ascii").strip().removeprefix(_PREFIX)
         for part in report.split(","):
             name, _, value = part.strip().partition("=")
-            if _NUMBER.fullmatch(value):  # float() would take nan, inf, 1_0 and more
+            if _NUMBER.fullmatch(value):
                 values[name] = float(value)
         return tuple(values[field] for field in fields)
     except (UnicodeDecodeError, KeyError):
--- a/balancer/sidecar/upstream/manager.py
+++ b/balancer/sidecar/upstream/manager.py
@@ -1,4 +1,4 @@
-"""All connections to endpoints: pools by endpoint, the limit on connections, attempts and health checks."""
+"""All connections to endpoints: their pools and limit, and the attempts and health checks that use them."""
 
 from __future__ import annotations
 
@@ -12,23 +12,39 @@
 from balancer.sidecar.http.buffer_budget import BufferBudget
 from balancer.sidecar.http.message import HttpResponse
 from balancer.sidecar.http.outbound_connection import OutboundConnection
-from balancer.sidecar.upstream.attempt import STATUS_OK, Attempt, CompletionCallback
+from balancer.sidecar.upstream.attempt import Attempt, CompletionCallback
+from balancer.sidecar.upstream.connection_provider import Connector
 from balancer.sidecar.upstream.health_check import HealthCheck, build_health_check_request
 from balancer.sidecar.upstream.load_report import parse_load_report
 from balancer.sidecar.upstream.pool import EndpointPool
+from balancer.sidecar.upstream.response_outcome import STATUS_OK
 from balancer.time_units import SECOND_NS
 
 USABLE_IDLE_TIME_SHARE = 0.9
-"""A connection idle for this share of the endpoint's idle timeout is not used again."""
+"""The share of the endpoint's idle timeout for which an idle connection is used again.
+
+The rest is a margin: the endpoint closes the connection by a clock of its own.
+"""
 
 RESPONSE_BUFFER_MEMORY_DIVISOR = 4
-"""The bodies of responses in flight may take this fraction of the memory limit together."""
+"""All response bodies in flight may take the memory limit divided by this; the process needs the rest."""
 
 
 class UpstreamManager:
-    """Holds every connection to an endpoint and starts what is sent over them.
+    """Owns every connection to an endpoint, and creates the attempts and health checks that use them.
+
+    A connection counts against `max_connections` from the start of its connect until its loss.
+
+    Args:
+        config: the configuration of the sidecar.
+        loop: the event loop.
+        now_ns: returns the time of the sidecar's clock.
 
-    A connection counts against `max_connections` from when it is begun until it is lost.
+    Attributes:
+        connect: opens every connection. It is `open_connection`, unless a test replaces it.
+        max_connections: the limit on open connections.
+        buffer_budget: the limit on the bytes that all response bodies in flight may take.
+        background_attempts: attempts whose outcome is reported but which have not ended.
     """
 
     def __init__(
@@ -39,10 +55,10 @@
     ) -> None:
         self.loop = loop
         self.now_ns = now_ns
+        self.connect: Connector = self.open_connection
         self.max_connections = config.max_upstream_connections
         self.buffer_budget = BufferBudget(config.memory_limit_bytes // RESPONSE_BUFFER_MEMORY_DIVISOR)
         self.background_attempts: set[Attempt] = set()
-        """Attempts that were reported but still connect or wait for a response."""
         self._max_idle_ns = int(config.connection_idle_timeout_ns * USABLE_IDLE_TIME_SHARE)
         self._connect_timeout_seconds = config.connect_timeout_ns / SECOND_NS
         self._load_report_fields = config.settings.load_report_fields
@@ -53,20 +69,20 @@
 
     @property
     def pools(self) -> Mapping[EndpointId, EndpointPool]:
-        """The pools of all endpoints in the list."""
+        """Return the pools of all endpoints in the endpoint list."""
         return self._pools
 
     @property
     def open_connection_count(self) -> int:
-        """How many connections are being made or not lost yet."""
+        """Return the number of connections that are being established or not lost yet."""
         return len(self._open_connections)
 
     # ---- endpoints
 
     def update_endpoints(self, endpoints: Iterable[DiscoveredEndpoint], is_snapshot: bool) -> None:
-        """Take an endpoint update. Of a snapshot, endpoints that it does not list are removed.
+        """Apply an endpoint update. A snapshot removes the endpoints that it does not list.
 
-        Called before the policy takes the update, so that connections being made see that an endpoint drains.
+        Called before the policy handles the update, so that pending connects see that an endpoint drains.
         """
         listed_ids: set[EndpointId] = set()
         for discovered in endpoints:
@@ -90,7 +106,9 @@
         endpoint = discovered.endpoint
         pool = self._pools.get(endpoint.id)
         if pool is None:
-            self._pools[endpoint.id] = EndpointPool(discovered.address, endpoint.health, self._max_idle_ns)
+            self._pools[endpoint.id] = EndpointPool(
+                endpoint.id, discovered.address, endpoint.health, self._max_idle_ns
+            )
         else:
             pool.update(discovered.address, endpoint.health)
 
@@ -108,10 +126,9 @@
         on_completed: CompletionCallback,
         start_before_ns: int = 0,
     ) -> Attempt | None:
-        """Return a new attempt, not started yet; None where the endpoint takes nothing new.
+        """Return a new attempt, not started yet; None if the endpoint accepts no new requests.
 
-        `build_payload` is called just before the request is written. If the connection is not there before
-        `start_before_ns` (0: no limit), the request is not written.
+        The arguments after the endpoint are those of `Attempt`.
         """
         pool = self._pools.get(endpoint_id)
         if pool is None or not pool.is_ready:
@@ -121,7 +138,7 @@
     def start_health_check(
         self, endpoint_id: EndpointId, on_completed: Callable[[HealthCheckCompleted], None]
     ) -> None:
-        """Ask an endpoint whether it is alive and, if it tells, for its load."""
+        """Check that an endpoint is alive and, if endpoints report their load, ask for it."""
 
         def on_ended(ended: HealthCheck, event: HealthCheckCompleted) -> None:
             """Forget the health check and report its result."""
@@ -143,7 +160,9 @@
     def parse_load_report(self, response: HttpResponse | None, body: bool = False) -> tuple[float, ...]:
         """Return the load report of a response, in the order of the settings; () if there is none.
 
-        With `body`, the body of a successful response is one if no header is.
+        Args:
+            response: the response, if there is one.
+            body: whether the body of a successful response is a load report if no header is.
         """
         if response is None or not self._load_report_fields:
             return ()
@@ -158,7 +177,7 @@
     # ---- connections
 
     def make_room(self) -> bool:
-        """Return whether one more connection may be opened; the longest idle one makes room if need be."""
+        """Return whether one more connection may be opened, having closed the longest idle one if need be."""
         if self.open_connection_count < self.max_connections:
             return True
         pools = [pool for pool in self._pools.values() if pool.idle_connections]
@@ -168,7 +187,7 @@
         longest_idle.close_longest_idle()
         return True
 
-    async def connect(self, pool: EndpointPool) -> OutboundConnection:
+    async def open_connection(self, pool: EndpointPool, /) -> OutboundConnection:
         """Open a connection to the endpoint of this pool. Raises OSError; a timeout is one.
 
         The connection counts until it is lost, which may be before this returns, or until this fails.
@@ -181,7 +200,7 @@
             async with asyncio.timeout(self._connect_timeout_seconds):
                 await self.loop.create_connection(lambda: connection, host, port)
         except BaseException:
-            # Its loss may be reported or not, by what the event loop has done before it was cancelled.
+            # Whether its loss will be reported depends on how far the event loop had come.
             connection.close()
             self._open_connections.discard(connection)
             raise
--- a/balancer/sidecar/upstream/pool.py
+++ b/balancer/sidecar/upstream/pool.py
@@ -2,41 +2,53 @@
 
 from __future__ import annotations
 
-from balancer.policy_api import EndpointHealth
+from balancer.policy_api import EndpointHealth, EndpointId
 from balancer.sidecar.http.outbound_connection import OutboundConnection
 from balancer.sidecar.runtime.address import Address
 from balancer.time_units import SECOND_NS
 
 CONNECTION_REUSE_DELAY_NS = SECOND_NS // 125
-"""How long a connection that was used takes no further request.
+"""Time for which a connection that was used carries no further request: 8 ms.
 
 A second response to one request may come some milliseconds after the first. Taken for the response to a
-request that was written meanwhile, it would be passed on, or say that the request was never executed.
+request that was written in the meantime, it would be forwarded, or state that the request was not executed.
 """
 
 SURPLUS_IDLE_NS = 4 * SECOND_NS
-"""A surplus connection, left by a burst, is closed once idle for this long.
+"""Idle time after which a surplus connection, which a burst has left, is closed.
 
-Each takes a part of the endpoint's capacity; a new handshake costs as much work as holding one connection for
-two to six seconds.
+Each connection takes a part of the endpoint's capacity; a new handshake costs as much work as holding one
+connection for two to six seconds.
 """
 
 
 class EndpointPool:
-    """What is known of one endpoint, and the idle connections to it, the longest idle first.
+    """The address and health of one endpoint, and the idle connections to it, the longest idle first.
 
-    A connection that has been idle for `max_idle_ns` is not used again: the endpoint may close it any moment.
     All points in time are those of one clock, which the callers read.
+
+    Args:
+        endpoint_id: the endpoint.
+        address: its address.
+        health: its health.
+        max_idle_ns: the idle time after which a connection is not used again, as the endpoint may close it at
+            any moment.
+
+    Attributes:
+        is_ready: whether the endpoint accepts new requests; an attribute, as each attempt reads it twice.
     """
 
-    def __init__(self, address: Address, health: EndpointHealth, max_idle_ns: int) -> None:
+    def __init__(
+        self, endpoint_id: EndpointId, address: Address, health: EndpointHealth, max_idle_ns: int
+    ) -> None:
+        self.endpoint_id = endpoint_id
         self.address = address
         self.idle_connections: list[OutboundConnection] = []
         self._max_idle_ns = max_idle_ns
         self._set_health(health)
 
     def update(self, address: Address, health: EndpointHealth) -> None:
-        """Take the endpoint's entry of an endpoint update."""
+        """Apply the endpoint's entry in an endpoint update."""
         has_moved = address != self.address
         self.address = address
         self._set_health(health)
@@ -44,14 +56,14 @@
             self.close_idle_connections()
 
     def mark_removed(self) -> None:
-        """Take the endpoint's absence from a snapshot."""
+        """Record that a snapshot does not list the endpoint."""
         self._set_health(EndpointHealth.REMOVED)
         self.close_idle_connections()
 
     def acquire(self, now_ns: int) -> OutboundConnection | None:
-        """Take the most recently used connection whose reuse delay is over and that is still good, or None.
+        """Remove and return the most recently used connection that may be reused now, or None.
 
-        The most recently used one goes first so that the surplus grows old and closes.
+        The most recently used one goes first so that the surplus grows old and is closed.
         """
         reusable_since_ns = now_ns - CONNECTION_REUSE_DELAY_NS
         usable_after_ns = now_ns - self._max_idle_ns
@@ -66,7 +78,7 @@
         return None
 
     def release(self, connection: OutboundConnection, now_ns: int) -> None:
-        """Keep a connection for the next request, or close it where it is not fit for one."""
+        """Keep a connection for the next request, or close it if it is not fit for one."""
         is_current = self.is_ready and connection.address == self.address
         if not is_current or not connection.is_reusable():
             connection.close()
@@ -74,7 +86,7 @@
         connection.idle_since_ns = now_ns
         self.idle_connections.append(connection)
         while self.idle_connections[0].idle_since_ns < now_ns - SURPLUS_IDLE_NS:
-            self.close_longest_idle()  # but never the one that was released just now
+            self.close_longest_idle()  # never the one that was released just now
 
     def seconds_until_reusable(self, now_ns: int) -> float:
         """Return in how many seconds the first idle connection may be reused; 0 if none is idle."""
@@ -88,12 +100,12 @@
         return remaining_delay_ns / SECOND_NS
 
     def discard(self, connection: OutboundConnection) -> None:
-        """Forget a connection that is lost, if it was idle here."""
+        """Remove a connection that is lost, if it was idle here."""
         if connection in self.idle_connections:
             self.idle_connections.remove(connection)
 
     def close_longest_idle(self) -> None:
-        """Close the connection that has been idle the longest. There must be one."""
+        """Close the connection that has been idle for longest. There must be one."""
         self.idle_connections.pop(0).close()
 
     def close_idle_connections(self) -> None:
@@ -105,5 +117,4 @@
 
     def _set_health(self, health: EndpointHealth) -> None:
         self.health = health
-        # Whether the endpoint takes new requests: an attribute, as every attempt reads it twice.
         self.is_ready = health == EndpointHealth.READY
--- a/tests/sidecar/http/test_outbound_connection.py
+++ b/tests/sidecar/http/test_outbound_connection.py
@@ -12,7 +12,7 @@
 from balancer.policy_api import AttemptOutcome
 from balancer.sidecar.http.message import HttpResponse
 from balancer.sidecar.http.outbound_connection import OutboundConnection
-from balancer.sidecar.upstream.attempt import outcome_of_response
+from balancer.sidecar.upstream.response_outcome import outcome_of_response
 from tests.sidecar.harness import (
     TEST_TIMEOUT_SECONDS,
     answer_ok,
--- a/tests/sidecar/upstream/harness.py
+++ b/tests/sidecar/upstream/harness.py
@@ -1,4 +1,8 @@
-"""What the tests of the upstream side share: endpoints that answer in raw bytes, and connections on hold."""
+"""The harness of the tests of the upstream side.
+
+It has endpoints that answer in raw bytes, gates that hold connects and reuse delays, and an event loop that
+connects as a test says.
+"""
 
 from __future__ import annotations
 
@@ -6,21 +10,27 @@
 import contextlib
 import socket
 import struct
-from collections.abc import AsyncIterator, Callable
+from collections.abc import AsyncIterator, Awaitable, Callable
 from enum import Enum, auto
+from typing import NamedTuple, cast
 
 import pytest
 
-from balancer.policy_api import EndpointUpdateKind
+from balancer.policy_api import AttemptOutcome, EndpointUpdateKind
+from balancer.sidecar.configuration import SidecarConfiguration, parse_configuration
 from balancer.sidecar.discovery.endpoint_list import derive_endpoint_id
+from balancer.sidecar.http.message import HttpResponse
 from balancer.sidecar.http.outbound_connection import OutboundConnection
-from balancer.sidecar.upstream.attempt import Attempt, CompletionCallback
+from balancer.sidecar.upstream.attempt import Attempt, AttemptState, CompletionCallback
 from balancer.sidecar.upstream.manager import UpstreamManager
 from balancer.sidecar.upstream.pool import EndpointPool
+from balancer.time_units import SECOND_NS
 from tests.sidecar.harness import (
     ReceivedRequest,
     Script,
+    ScriptedEndpoint,
     Sidecar,
+    configuration,
     endpoint_entry,
     endpoint_list,
     request_bytes,
@@ -33,7 +43,7 @@
 CHUNKED_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)
-"""The value of SO_LINGER with which closing a socket resets its connection."""
+"""Value of SO_LINGER with which closing a socket resets its connection."""
 
 
 def respond_with(response: bytes) -> Script:
@@ -45,6 +55,24 @@
     return script
 
 
+async def close_connection(_request: ReceivedRequest) -> bytes | None:
+    """Script: close the connection without a response."""
+    return None
+
+
+def received_request_count(*endpoints: ScriptedEndpoint) -> int:
+    """Return how many requests these endpoints have received together."""
+    return sum(len(endpoint.received_requests) for endpoint in endpoints)
+
+
+class ExpiredTime(Enum):
+    """Which time limit of an attempt is over."""
+
+    START_WINDOW = auto()
+    REQUEST_DEADLINE = auto()
+    ATTEMPT_TIMEOUT = auto()
+
+
 class ConnectionEnd(Enum):
     """What a raw endpoint does with its connection once the response is written."""
 
@@ -112,7 +140,7 @@
         self._holds_established = holds_established
         self._first_error = first_error
         self._connect = sidecar.dispatcher.upstream.connect
-        sidecar.dispatcher.upstream.connect = self._connect_when_opened  # type: ignore[method-assign]
+        sidecar.dispatcher.upstream.connect = self._connect_when_opened
 
     async def _connect_when_opened(self, pool: EndpointPool) -> OutboundConnection:
         connection = await self._connect(pool) if self._holds_established else None
@@ -162,6 +190,60 @@
             release.set_result(None)
 
 
+class LoopWithConnector:
+    """An event loop that creates tasks as the running one does, but connections by a function of the test."""
+
+    def __init__(self, create_connection: Callable[..., Awaitable[object]]) -> None:
+        self.create_connection = create_connection
+        self.create_task = asyncio.get_running_loop().create_task
+
+
+def event_loop_with_connector(
+    create_connection: Callable[..., Awaitable[object]],
+) -> asyncio.AbstractEventLoop:
+    """Return an event loop whose `create_connection` is this function."""
+    return cast(asyncio.AbstractEventLoop, LoopWithConnector(create_connection))
+
+
+class ManagedEndpoint(NamedTuple):
+    """An upstream side without the rest of a sidecar, which knows one endpoint."""
+
+    config: SidecarConfiguration
+    upstream: UpstreamManager
+    pool: EndpointPool
+
+
+def manage_endpoint(
+    address: str,
+    loop: asyncio.AbstractEventLoop | None = None,
+    now_ns: Callable[[], int] = lambda: SECOND_NS,
+) -> ManagedEndpoint:
+    """Return an upstream side that knows the endpoint at this address; by default its clock stands still."""
+    config = parse_configuration(configuration(address))
+    upstream = UpstreamManager(config, loop or asyncio.get_running_loop(), now_ns)
+    upstream.update_endpoints(config.known_endpoints.endpoints, is_snapshot=True)
+    [pool] = upstream.pools.values()
+    return ManagedEndpoint(config, upstream, pool)
+
+
+class OutcomeQueue(asyncio.Queue[AttemptOutcome]):
+    """Receives the outcomes of attempts; `record` is their completion callback."""
+
+    def record(self, outcome: AttemptOutcome, _response: HttpResponse | None) -> None:
+        """Add the outcome of an attempt."""
+        self.put_nowait(outcome)
+
+
+async def wait_for_attempt_in_flight(sidecar: Sidecar) -> Attempt:
+    """Wait until the attempt of the only request is in flight, and return it."""
+    in_flight = sidecar.dispatcher.ledger.in_flight
+    await wait_until(lambda: sidecar.dispatcher.upstream.open_connection_count and in_flight)
+    [request] = in_flight.values()
+    await wait_until(lambda: request.attempt is not None and request.attempt.state is AttemptState.IN_FLIGHT)
+    assert request.attempt is not None
+    return request.attempt
+
+
 def start_attempt(
     upstream: UpstreamManager,
     endpoint_name: str,
--- /dev/null
+++ b/tests/sidecar/upstream/test_attempt_partly_sent.py
@@ -0,0 +1,131 @@
+"""Attempts of which a part of the request is unsent when their time is over or their client leaves."""
+
+from __future__ import annotations
+
+import asyncio
+import contextlib
+import socket
+from collections.abc import AsyncIterator
+
+import pytest
+
+from balancer.policy_api import AttemptOutcome, ClientDisconnected
+from balancer.sidecar.http.outbound_connection import OutboundConnection
+from balancer.sidecar.upstream.manager import UpstreamManager
+from balancer.sidecar.upstream.pool import EndpointPool
+from balancer.time_units import SECOND_NS
+from tests.sidecar.harness import (
+    TEST_TIMEOUT_SECONDS,
+    Sidecar,
+    async_test,
+    is_attempt_completed,
+    request_bytes,
+    run_sidecar,
+    wait_until,
+)
+from tests.sidecar.upstream.harness import (
+    ExpiredTime,
+    start_attempt,
+    wait_for_attempt_in_flight,
+)
+
+
+@contextlib.asynccontextmanager
+async def narrow_endpoint() -> AsyncIterator[tuple[socket.socket, str]]:
+    """Listen with a small receive buffer, and return the listening socket with its address."""
+    with socket.create_server(("127.0.0.1", 0)) as server:
+        server.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
+        host, port = server.getsockname()
+        yield server, f"{host}:{port}"
+
+
+def narrow_send_buffers(upstream: UpstreamManager) -> None:
+    """Give each new connection a small send buffer, so that a long request is sent in part."""
+    connect = upstream.connect
+
+    async def connect_narrow(pool: EndpointPool) -> OutboundConnection:
+        connection = await connect(pool)
+        assert connection.transport is not None
+        connected_socket = connection.transport.get_extra_info("socket")
+        connected_socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
+        return connection
+
+    upstream.connect = connect_narrow
+
+
+def receive_all(server: socket.socket) -> int:
+    """Return how many bytes the first connection to this socket carries until its end."""
+    peer, _ = server.accept()
+    peer.settimeout(TEST_TIMEOUT_SECONDS / 4)
+    received_bytes = 0
+    with peer, contextlib.suppress(ConnectionResetError):
+        while part := peer.recv(1 << 20):
+            received_bytes += len(part)
+    return received_bytes
+
+
+async def send_until_start_window_is_over(upstream: UpstreamManager, request: bytes) -> None:
+    """Start an attempt whose start window ends while a part of its request is unsent."""
+    now_ns = upstream.now_ns()
+    upstream.now_ns = lambda: now_ns  # the connection is established in time, however long that takes
+    completed: asyncio.Future[AttemptOutcome] = asyncio.get_running_loop().create_future()
+    start_attempt(
+        upstream,
+        "s-0",
+        lambda outcome, _response: completed.set_result(outcome),
+        now_ns + SECOND_NS // 10,
+        lambda: request,
+    )
+    assert await completed == AttemptOutcome.NOT_SENT
+
+
+async def send_until_expired(sidecar: Sidecar, request: bytes, expired: ExpiredTime) -> None:
+    """Send a client's request, whose time is over while a part of it is unsent."""
+    client = await sidecar.connect_client()
+    client.writer.write(request)
+    attempt = await wait_for_attempt_in_flight(sidecar)
+    if expired is ExpiredTime.REQUEST_DEADLINE:
+        sidecar.dispatcher.expire_all_within(0)
+    else:
+        attempt.expire()
+    assert (await client.read_response()).status == 503
+    assert (await sidecar.wait_for_event(is_attempt_completed)).outcome == AttemptOutcome.NOT_SENT
+
+
+@pytest.mark.parametrize("expired", ExpiredTime)
+@async_test
+async def test_partly_sent_request_goes_no_further_after_its_time(expired: ExpiredTime) -> None:
+    """The rest would be sent whenever the endpoint continues to read, also after the start window.
+
+    A request that was not sent completely is reported as not sent, not as a timeout.
+    """
+    async with narrow_endpoint() as (server, address), run_sidecar(address) as sidecar:
+        upstream = sidecar.dispatcher.upstream
+        narrow_send_buffers(upstream)
+        request = request_bytes("post", body=b"x" * 60_000)
+        if expired is ExpiredTime.START_WINDOW:
+            await send_until_start_window_is_over(upstream, request)
+        else:
+            await send_until_expired(sidecar, request, expired)
+        await wait_until(lambda: not upstream.open_connection_count)
+        assert not upstream.background_attempts
+        assert not sidecar.dispatcher.ledger.in_flight
+        assert receive_all(server) < 60_000
+
+
+@async_test
+async def test_partly_sent_request_goes_no_further_after_client_disconnected() -> None:
+    """The rest would be sent whenever the endpoint continues to read, for a client that does not wait."""
+    async with narrow_endpoint() as (server, address), run_sidecar(address) as sidecar:
+        upstream = sidecar.dispatcher.upstream
+        in_flight = sidecar.dispatcher.ledger.in_flight
+        narrow_send_buffers(upstream)
+        client = await sidecar.connect_client()
+        client.writer.write(request_bytes("post", body=b"x" * 60_000))
+        await wait_for_attempt_in_flight(sidecar)
+        client.writer.close()
+        await sidecar.wait_for_event(lambda event: isinstance(event, ClientDisconnected))
+        assert not in_flight  # at once, not at the deadline
+        assert (await sidecar.wait_for_event(is_attempt_completed)).outcome == AttemptOutcome.NOT_SENT
+        await wait_until(lambda: not upstream.open_connection_count)
+        assert receive_all(server) < 60_000
--- a/tests/sidecar/upstream/test_manager.py
+++ b/tests/sidecar/upstream/test_manager.py
@@ -7,21 +7,17 @@
 import socket
 from collections.abc import Callable, Iterator
 from pathlib import Path
-from typing import Any, cast
+from typing import Any
 
 import pytest
 
 from balancer.policy_api import AttemptOutcome, EndpointUpdateKind
-from balancer.sidecar.configuration import parse_configuration
-from balancer.sidecar.http.message import MAX_RESPONSE_BODY_BYTES, HttpResponse
+from balancer.sidecar.http.message import MAX_RESPONSE_BODY_BYTES
 from balancer.sidecar.http.outbound_connection import OutboundConnection
-from balancer.sidecar.upstream.manager import UpstreamManager
-from balancer.time_units import SECOND_NS
 from tests.sidecar.harness import (
     SETTINGS,
     answer_ok,
     async_test,
-    configuration,
     endpoint_entry,
     endpoint_list,
     is_attempt_completed,
@@ -35,77 +31,69 @@
 from tests.sidecar.upstream.harness import (
     HEAD_WITHOUT_LENGTH,
     ConnectionEnd,
+    OutcomeQueue,
+    event_loop_with_connector,
+    manage_endpoint,
     respond_with,
     run_raw_endpoint,
     start_attempt,
 )
 
 
-class LosingLoop:
-    """Makes connections that are lost before the task that waits for them runs again."""
-
-    def __init__(self) -> None:
-        self._loop = asyncio.get_running_loop()
-
-    async def create_connection(
-        self, factory: Callable[[], OutboundConnection], *address: Any
-    ) -> tuple[asyncio.BaseTransport, OutboundConnection]:
-        """Make a connection, and return once it is lost."""
-        transport, connection = await self._loop.create_connection(factory, *address)
-        transport.abort()
-        await wait_until(lambda: connection.transport is None)
-        return transport, connection
+async def connect_and_lose(
+    factory: Callable[[], OutboundConnection], *address: Any
+) -> tuple[asyncio.BaseTransport, OutboundConnection]:
+    """Create a connection that is lost before the task that waits for it runs again."""
+    transport, connection = await asyncio.get_running_loop().create_connection(factory, *address)
+    transport.abort()
+    await wait_until(lambda: connection.transport is None)
+    return transport, connection
 
 
 @async_test
 async def test_connection_lost_as_soon_as_established_is_not_counted() -> None:
     async with run_endpoint(answer_ok) as endpoint:
-        config = parse_configuration(configuration(endpoint.address))
-        loop = cast(asyncio.AbstractEventLoop, LosingLoop())
-        upstream = UpstreamManager(config, loop, lambda: SECOND_NS)
-        upstream.update_endpoints(config.known_endpoints.endpoints, is_snapshot=True)
-        [pool] = upstream.pools.values()
+        loop = event_loop_with_connector(connect_and_lose)
+        _, upstream, pool = manage_endpoint(endpoint.address, loop)
         connection = await upstream.connect(pool)
         assert upstream.open_connection_count == 0
         assert not connection.is_reusable()
         assert connection.send(request_bytes(), lambda _response: None) is False
 
 
-class CancellingLoop:
-    """Cancels the task that waits for a connection in the very turn in which the connection is made."""
+class CancellingProtocol(asyncio.Protocol):
+    """Passes the start and the loss of a connection on, and cancels a task at the start."""
+
+    def __init__(self, connection: OutboundConnection, waiting_task: asyncio.Task[Any]) -> None:
+        self._connection = connection
+        self._waiting_task = waiting_task
 
-    def __init__(self) -> None:
-        self._loop = asyncio.get_running_loop()
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Pass the transport on, then cancel the task."""
+        self._connection.connection_made(transport)
+        self._waiting_task.cancel()
 
-    async def create_connection(
-        self, factory: Callable[[], OutboundConnection], *address: Any
-    ) -> tuple[asyncio.BaseTransport, OutboundConnection]:
-        """Make a connection for a task that is cancelled as soon as its protocol knows of it."""
-        waiting_task = asyncio.current_task()
-        assert waiting_task is not None
+    def connection_lost(self, error: Exception | None) -> None:
+        """Pass the loss on."""
+        self._connection.connection_lost(error)
 
-        def make_connection() -> OutboundConnection:
-            connection = factory()
-            take_transport = connection.connection_made
 
-            def take_transport_and_cancel(transport: asyncio.BaseTransport) -> None:
-                take_transport(transport)
-                waiting_task.cancel()
+async def connect_and_cancel(factory: Callable[[], OutboundConnection], *address: Any) -> object:
+    """Create a connection for a task that is cancelled in the very turn in which it is established."""
+    waiting_task = asyncio.current_task()
+    assert waiting_task is not None
 
-            connection.connection_made = take_transport_and_cancel  # type: ignore[method-assign]
-            return connection
+    def make_protocol() -> CancellingProtocol:
+        return CancellingProtocol(factory(), waiting_task)
 
-        return await self._loop.create_connection(make_connection, *address)
+    return await asyncio.get_running_loop().create_connection(make_protocol, *address)
 
 
 @async_test
-async def test_connect_cancelled_as_it_is_made_is_not_counted() -> None:
+async def test_connect_cancelled_as_it_is_established_is_not_counted() -> None:
     async with run_endpoint(answer_ok) as endpoint:
-        config = parse_configuration(configuration(endpoint.address))
-        loop = cast(asyncio.AbstractEventLoop, CancellingLoop())
-        upstream = UpstreamManager(config, loop, lambda: SECOND_NS)
-        upstream.update_endpoints(config.known_endpoints.endpoints, is_snapshot=True)
-        [pool] = upstream.pools.values()
+        loop = event_loop_with_connector(connect_and_cancel)
+        _, upstream, pool = manage_endpoint(endpoint.address, loop)
         connecting = asyncio.ensure_future(upstream.connect(pool))
         await asyncio.wait((connecting,))
         assert connecting.cancelled()
@@ -124,17 +112,13 @@
         upstream = sidecar.dispatcher.upstream
         delta = endpoint_list(2, endpoint_entry("s-1", answering.address), whole=False)
         sidecar.update_endpoints(delta, EndpointUpdateKind.DELTA)
-        outcomes: asyncio.Queue[AttemptOutcome] = asyncio.Queue()
-
-        def on_completed(outcome: AttemptOutcome, _response: HttpResponse | None) -> None:
-            outcomes.put_nowait(outcome)
-
-        start_attempt(upstream, "s-1", on_completed)
+        outcomes = OutcomeQueue()
+        start_attempt(upstream, "s-1", outcomes.record)
         # Its connection is idle then, and the only one that is allowed.
         assert await outcomes.get() == AttemptOutcome.SUCCESS
-        start_attempt(upstream, "s-0", on_completed)
+        start_attempt(upstream, "s-0", outcomes.record)
         await silent.request_arrived.wait()
-        start_attempt(upstream, "s-1", on_completed)
+        start_attempt(upstream, "s-1", outcomes.record)
         # The lack of room is this sidecar's: it must not look like a failure of the endpoint.
         assert await outcomes.get() == AttemptOutcome.NOT_SENT
         assert len(answering.received_requests) == 1
--- a/tests/sidecar/upstream/test_pool.py
+++ b/tests/sidecar/upstream/test_pool.py
@@ -7,15 +7,12 @@
 import pytest
 
 from balancer.policy_api import ClientDisconnected, RequestReceived
-from balancer.sidecar.configuration import parse_configuration
-from balancer.sidecar.upstream.manager import UpstreamManager
 from balancer.sidecar.upstream.pool import CONNECTION_REUSE_DELAY_NS, SURPLUS_IDLE_NS
 from balancer.time_units import SECOND_NS
 from tests.sidecar.harness import (
     ReceivedRequest,
     answer_ok,
     async_test,
-    configuration,
     ok_response,
     request_bytes,
     run_endpoint,
@@ -26,6 +23,7 @@
     HEAD_WITHOUT_LENGTH,
     ConnectGate,
     ConnectionEnd,
+    manage_endpoint,
     move_endpoint,
     run_raw_endpoint,
 )
@@ -36,10 +34,7 @@
     """Each takes a part of the endpoint's capacity, so those left by a burst must not stay for long."""
     async with run_endpoint(answer_ok) as endpoint:
         now_ns = SECOND_NS
-        config = parse_configuration(configuration(endpoint.address))
-        upstream = UpstreamManager(config, asyncio.get_running_loop(), lambda: now_ns)
-        upstream.update_endpoints(config.known_endpoints.endpoints, is_snapshot=True)
-        [pool] = upstream.pools.values()
+        config, upstream, pool = manage_endpoint(endpoint.address, now_ns=lambda: now_ns)
         burst = [await upstream.connect(pool) for _ in range(3)]
         for connection in burst:
             pool.release(connection, now_ns)
@@ -122,7 +117,7 @@
 )
 @async_test
 async def test_connection_is_not_reused_within_reuse_delay(second_response: bytes) -> None:
-    """A late second_response answer to one request would be taken for the answer to the next one."""
+    """A late second response to one request would be taken for the response to the next one."""
     may_send_second = asyncio.Event()
 
     async def serve_connection(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
