--- a/balancer/sidecar/downstream/acceptor.py
+++ b/balancer/sidecar/downstream/acceptor.py
@@ -1,4 +1,4 @@
-"""The listening socket: accepts connections, and goes on where accept(2) fails."""
+"""The listening socket: accepts connections, and retries after accept(2) has failed."""
 
 from __future__ import annotations
 
@@ -15,15 +15,19 @@
 from balancer.sidecar.runtime.timers import OneShotTimer
 
 LISTEN_BACKLOG = 512
-"""Connections that may wait to be accepted."""
+"""Number of connections that may wait to be accepted: more than the sidecar may have open."""
 
 MAX_ACCEPTED_PER_TURN = 64
-"""Connections accepted in one turn of the event loop: those that are open are to be served meanwhile."""
+"""Number of connections accepted in one turn of the event loop, so that open ones are served meanwhile."""
 
 RETRY_DELAY_SECONDS = 0.01
-"""After a failure to accept. Connections that wait are neither closed nor answered until then."""
+"""Seconds from a failure to accept until the next attempt.
+
+Waiting connections are neither closed nor served until then, so it is far shorter than clients' timeouts.
+"""
 
 ProtocolFactory: TypeAlias = Callable[[float | None], asyncio.Protocol]
+"""Makes the protocol of a connection, given since when its bytes may have waited; see `Acceptor`."""
 
 log = logging.getLogger(__name__)
 
@@ -38,16 +42,16 @@
 
 
 class Acceptor:
-    """Accepts the connections of a listening socket, each for a protocol of its own.
+    """Accepts the connections of a listening socket, and attaches a new protocol to each.
 
-    The event loop's own server closes new connections unread where descriptors are short, and the requests on
-    them are lost. Here they wait in the backlog until there are descriptors again.
+    The event loop's own server closes new connections unread when descriptors run out, and the requests on
+    them are lost. This one leaves them in the backlog until there are descriptors again.
 
     Args:
-        listening: the socket; this object owns it.
+        listening: the listening socket, which this object owns.
         loop: the event loop.
-        make_protocol: makes the protocol of each connection. It is given since when its bytes may have waited
-            (by the loop's time) where the connection had to wait, else None.
+        make_protocol: makes the protocol of each connection. Its argument is since when the connection's
+            bytes may have waited, by the loop's time in seconds; None if the connection did not have to wait.
         metrics: counts the failures.
     """
 
@@ -68,11 +72,11 @@
         self._blocked_since_seconds: float | None = None
 
     def start(self) -> None:
-        """Begin to accept."""
+        """Start accepting connections."""
         self._loop.add_reader(self._listening, self._accept_waiting)
 
     async def close(self) -> None:
-        """Accept what waits already, then accept no more and close the socket.
+        """Accept the connections in the backlog, then stop accepting and close the socket.
 
         Returns once the protocols of all accepted connections are attached.
         """
@@ -89,7 +93,7 @@
         self._accept_up_to(MAX_ACCEPTED_PER_TURN)
 
     def _accept_up_to(self, count: int) -> None:
-        """Accept the connections that wait, as far as that is possible now."""
+        """Accept at most this many of the connections that wait, until none is left or accepting fails."""
         for _ in range(count):
             try:
                 connection, _address = self._listening.accept()
@@ -104,11 +108,12 @@
             self._open(connection)
 
     def _retry_later(self, error: OSError) -> None:
-        """Leave the connections in the backlog for a moment: the socket stays readable, and would spin."""
-        self._metrics.count(Metric.ACCEPT_FAILURES, errno.errorcode.get(error.errno or 0, "other"))
+        """Accept again after a delay. Until then the socket, which stays readable, is not watched."""
+        error_name = errno.errorcode.get(error.errno or 0, "other")
+        self._metrics.count(Metric.ACCEPT_FAILURES, error_name)
         if self._blocked_since_seconds is None:
             self._blocked_since_seconds = self._loop.time()
-        log.info("accepting failed, retried in %.2f s: %s", RETRY_DELAY_SECONDS, error)
+        log.info("accept_failed error=%s retry_seconds=%.2f", error_name, RETRY_DELAY_SECONDS)
         self._loop.remove_reader(self._listening)
         self._retry_timer.start(RETRY_DELAY_SECONDS, self._resume)
 
@@ -129,5 +134,5 @@
             connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             await self._loop.connect_accepted_socket(make_protocol, connection)
         except OSError as error:  # the client has reset the connection meanwhile
-            log.info("a connection was lost as it was accepted: %s", error)
+            log.info("accepted_connection_lost error=%r", error)
             connection.close()
--- a/balancer/sidecar/downstream/client_transport.py
+++ b/balancer/sidecar/downstream/client_transport.py
@@ -1,4 +1,4 @@
-"""The transport of a client's connection and what can be asked of its socket."""
+"""The transport of a client's connection, with direct access to the state of its socket."""
 
 from __future__ import annotations
 
@@ -11,7 +11,11 @@
 
 
 class ClientTransport:
-    """A transport of the event loop that may not be there yet, or no more."""
+    """A transport of the event loop, from before it is attached until after it is detached.
+
+    Attributes:
+        is_reading_paused: whether nothing is read from the client for now.
+    """
 
     __slots__ = ("_file_descriptor", "_hang_up_poll", "_transport", "is_reading_paused")
 
@@ -23,34 +27,35 @@
 
     def attach(self, transport: asyncio.BaseTransport) -> None:
         """Use the transport of a connection that has just been accepted."""
-        # uvloop's transports have the methods but are no subclasses of asyncio's: nothing to check by type.
+        # uvloop's transports are not subclasses of asyncio's, so their type can't be checked.
         self._transport = cast(asyncio.Transport, transport)
         self._file_descriptor = self._transport.get_extra_info("socket").fileno()
         self._hang_up_poll.register(self._file_descriptor, select.POLLRDHUP)
 
     def detach(self) -> None:
-        """Forget the transport: the connection is lost."""
+        """Drop the transport, as the connection is lost."""
         self._transport = None
 
     @property
     def is_connected(self) -> bool:
-        """Whether there is a transport, though the event loop may be closing it."""
+        """Return whether there is a transport, though the event loop may be closing it."""
         return self._transport is not None
 
     def is_open(self) -> bool:
-        """Whether there is a transport that is not closing."""
+        """Return whether there is a transport that is not closing."""
         return self._transport is not None and not self._transport.is_closing()
 
     def is_peer_closed(self) -> bool:
-        """Whether the peer has closed its side or is gone.
+        """Return whether the peer has closed its side or reset the connection.
 
-        The socket is asked, as no event tells of it where nothing is read, or not yet.
+        The socket is polled: no event reports it while reading is paused, nor before the event loop's next
+        turn.
         """
         # Errors and hang-ups are always reported.
         return not self.is_open() or bool(self._hang_up_poll.poll(0))
 
     def has_unread_bytes(self) -> bool:
-        """Whether bytes have arrived that the event loop has not read yet."""
+        """Return whether bytes have arrived that the event loop has not read yet."""
         if self._transport is None:
             return False
         readable_poll = select.poll()
@@ -58,12 +63,12 @@
         return bool(readable_poll.poll(0))
 
     def write(self, data: bytes) -> None:
-        """Send these bytes; without a connection they are dropped."""
+        """Send bytes. Without a connection they are dropped."""
         if self._transport is not None:
             self._transport.write(data)
 
     def set_reading_paused(self, paused: bool) -> None:
-        """Pause or resume reading, if that is a change and the connection is open."""
+        """Pause or resume reading, if that changes anything and the connection is open."""
         if paused == self.is_reading_paused or not self.is_open():
             return
         assert self._transport is not None
@@ -74,16 +79,16 @@
             self._transport.resume_reading()
 
     def close_sending_side(self) -> None:
-        """Close our side once what was written has left. The peer's side stays open."""
+        """Close the sidecar's side after all written bytes have been sent. The peer's side stays open."""
         if self._transport is None:
             return
         if self._transport.get_write_buffer_size():
             self._transport.write_eof()
         else:
-            # The loop would do it in a later turn and might read a request before, which would be lost.
+            # The event loop would do it in a later turn only. A request that it reads before would be lost.
             shut_down_socket(self._file_descriptor, socket.SHUT_WR)
 
     def abort(self) -> None:
-        """Close the connection at once, whatever has not been sent."""
+        """Close the connection at once, dropping the bytes that have not been sent."""
         if self._transport is not None:
             self._transport.abort()
--- /dev/null
+++ b/balancer/sidecar/downstream/connection_lifecycle.py
@@ -0,0 +1,67 @@
+"""The phases of a client's connection, and the reasons for which it is closed."""
+
+from __future__ import annotations
+
+from enum import Enum, StrEnum, auto
+
+
+class CloseReason(StrEnum):
+    """Why the sidecar closes its side of a connection."""
+
+    LAST_RESPONSE = "last_response"
+    """The client asked for it, or its request could not be parsed."""
+    DRAINING = "draining"
+    """The sidecar shuts down."""
+    IDLE = "idle"
+    """No request came within the idle timeout."""
+    EVICTED = "evicted"
+    """A new connection needed its place."""
+    CLIENT_LEFT = "client_left"
+    """The client has closed its side, which no event of the transport reported."""
+    UNREAD_RESPONSES = "unread_responses"
+    """The client does not read its responses."""
+    LINGERED = "lingered"
+    """The client did not close its side in time, or its place was needed."""
+
+
+class ConnectionPhase(Enum):
+    """How far a connection has come towards its end."""
+
+    ACCEPTING_REQUESTS = auto()
+    """Requests are accepted."""
+    FINISHING = auto()
+    """No further request is accepted: the last one was, or the client has left. Responses may be pending."""
+    LINGERING = auto()
+    """The sidecar's side is closed; the client's bytes are discarded until it closes its own side."""
+
+
+class ConnectionLifecycle:
+    """The phase of one connection, which never returns to an earlier one.
+
+    Attributes:
+        phase: the current phase; changed by the methods only.
+    """
+
+    __slots__ = ("phase",)
+
+    def __init__(self) -> None:
+        self.phase = ConnectionPhase.ACCEPTING_REQUESTS
+
+    @property
+    def accepts_requests(self) -> bool:
+        """Return whether further requests are accepted."""
+        return self.phase is ConnectionPhase.ACCEPTING_REQUESTS
+
+    @property
+    def is_lingering(self) -> bool:
+        """Return whether the sidecar's side is closed and the client's side is waited for."""
+        return self.phase is ConnectionPhase.LINGERING
+
+    def stop_accepting_requests(self) -> None:
+        """Accept no further request. A later phase stays as it is."""
+        if self.phase is ConnectionPhase.ACCEPTING_REQUESTS:
+            self.phase = ConnectionPhase.FINISHING
+
+    def begin_lingering(self) -> None:
+        """Record that the sidecar's side is being closed."""
+        self.phase = ConnectionPhase.LINGERING
--- a/balancer/sidecar/downstream/connection_registry.py
+++ b/balancer/sidecar/downstream/connection_registry.py
@@ -1,4 +1,4 @@
-"""The open connections of clients, and which of them makes room for a new one."""
+"""The open connections of clients, and the choice of the one to evict for a new connection."""
 
 from __future__ import annotations
 
@@ -8,30 +8,35 @@
 
 
 class ConnectionRegistry:
-    """The open connections in three groups, each in the order of last use, oldest first."""
+    """The open connections in three groups, each in the order of last use, oldest first.
+
+    Args:
+        max_connections: the limit on open connections, by which `excess` and `is_crowded` are computed.
+    """
 
     def __init__(self, max_connections: int) -> None:
         self._max_connections = max_connections
         self._without_request: dict[DownstreamConnection, None] = {}
-        """Those that have not sent a valid request yet."""
+        """Connections that have not sent a valid request yet."""
         self._with_request: dict[DownstreamConnection, None] = {}
-        """Those that have."""
+        """Connections that have sent a valid request."""
         self._lingering: dict[DownstreamConnection, None] = {}
-        """Those that are closed but for the client's side."""
+        """Connections of which the sidecar's side is closed."""
         self._open_count = 0
-        """File descriptors: all of these, and aborted connections that the loop has yet to close."""
+        """Number of descriptors in use: by all of the above, and by aborted connections until their loss."""
 
     def __len__(self) -> int:
+        """Return the number of connections whose file descriptor is in use."""
         return self._open_count
 
     @property
     def excess(self) -> int:
-        """By how many connections the limit is exceeded; negative if it is not."""
+        """Return by how many connections the limit is exceeded; negative if it is not."""
         return self._open_count - self._max_connections
 
     @property
     def is_crowded(self) -> bool:
-        """Whether more than half of the connections allowed are open."""
+        """Return whether more than half of the connections allowed are open."""
         return self._open_count > self._max_connections // 2
 
     def accepting(self) -> list[DownstreamConnection]:
@@ -48,25 +53,25 @@
         self._without_request[connection] = None
 
     def mark_used(self, connection: DownstreamConnection) -> None:
-        """Note that a connection has just sent a valid request."""
+        """Record that a connection has just sent a valid request."""
         self._without_request.pop(connection, None)
         self._with_request.pop(connection, None)
         self._with_request[connection] = None
 
     def mark_lingering(self, connection: DownstreamConnection) -> None:
-        """Note that our side of a connection has been closed."""
+        """Record that the sidecar's side of a connection has been closed."""
         self._drop(connection)
         self._lingering[connection] = None
 
     def remove(self, connection: DownstreamConnection) -> None:
-        """Remove a connection that is gone."""
+        """Remove a connection that is closed."""
         self._drop(connection)
         self._open_count -= 1
 
     def pop_lingering(self, count: int) -> list[DownstreamConnection]:
         """Remove and return this many of the connections that have lingered for longest, or all of them.
 
-        Their descriptors are in use until `remove`.
+        Their descriptors stay in use, and are counted, until `remove`.
         """
         oldest = list(islice(self._lingering, max(0, count)))
         for connection in oldest:
@@ -76,12 +81,17 @@
     def select_eviction(
         self, newcomer: DownstreamConnection, now_seconds: float, grace_seconds: float
     ) -> DownstreamConnection:
-        """Return the connection to close for a newcomer, which is that one itself if no other can be closed.
+        """Return the connection to close for a new one, which is the new one if no other can be closed.
+
+        The order is: the oldest silent connection whose grace period is over; the connection that has been
+        idle for longest; the oldest silent connection. A client may take a moment from connecting to sending
+        its request. Evicted during the grace period, it would lose its place to clients that are no further,
+        while connections that once carried a request stay idle.
 
-        First comes the oldest that ought to have sent a request by now, then the one that has been idle for
-        longest, then the oldest without a request. A client may take a moment from connecting to its request:
-        closed for newer ones that are no further, it would lose its turn while connections of clients that
-        once sent a request stand idle.
+        Args:
+            newcomer: the new connection.
+            now_seconds: the event loop's time.
+            grace_seconds: for how long a connection may be silent before it is evicted first.
         """
         silent = self._oldest_silent()
         if silent is not None and silent.seconds_waited(now_seconds) > grace_seconds:
@@ -89,17 +99,20 @@
         return self._longest_idle() or silent or newcomer
 
     def _oldest_silent(self) -> DownstreamConnection | None:
+        """Return the oldest connection that has neither sent a request nor has unread bytes."""
         for connection in self._without_request:
             if not connection.has_pending_responses and not connection.has_unread_bytes():
                 return connection
         return None
 
     def _longest_idle(self) -> DownstreamConnection | None:
+        """Return the connection that has been idle for longest since its last request."""
         for connection in self._with_request:
             if connection.is_idle and not connection.has_unread_bytes():
                 return connection
         return None
 
     def _drop(self, connection: DownstreamConnection) -> None:
-        for group in (self._with_request, self._without_request, self._lingering):
-            group.pop(connection, None)
+        self._with_request.pop(connection, None)
+        self._without_request.pop(connection, None)
+        self._lingering.pop(connection, None)
--- a/balancer/sidecar/downstream/exchange.py
+++ b/balancer/sidecar/downstream/exchange.py
@@ -1,4 +1,4 @@
-"""Requests on a connection and their responses, which go out in the order of the requests."""
+"""Requests on a connection and their responses, which are sent in the order of the requests."""
 
 from __future__ import annotations
 
@@ -9,7 +9,10 @@
 from balancer.sidecar.http.message import HttpResponse
 
 MAX_PIPELINED_REQUESTS = 16
-"""Requests that are taken on one connection ahead of the response to the first of them."""
+"""Requests accepted on one connection ahead of the response to the first of them.
+
+Reading pauses there, so that a client that pipelines without limit can't fill the memory of the sidecar.
+"""
 
 
 class ExchangeOwner(Protocol):
@@ -19,7 +22,7 @@
         """Send the responses whose turn has come."""
 
     def is_disconnected(self) -> bool:
-        """Whether the client has closed its side."""
+        """Return whether the client has closed its side."""
 
 
 class Exchange:
@@ -40,7 +43,7 @@
         self.response: HttpResponse | None = None
 
     def respond(self, response: HttpResponse) -> None:
-        """Set the response and send it, or leave it to be sent in its turn."""
+        """Set the response, which is sent now or in its turn."""
         self.response = response
         self._owner.send_ready_responses()
 
@@ -49,7 +52,7 @@
         self.respond(forwarded_response(response))
 
     def reject(self, retry_after_ns: int) -> None:
-        """Respond that the request was not executed, with a time to retry after (0: none)."""
+        """Respond that the request was not executed, with a Retry-After (0: without)."""
         self.respond(rejected_response(retry_after_ns))
 
     def fail(self, timed_out: bool) -> None:
@@ -57,7 +60,7 @@
         self.respond(failed_response(timed_out))
 
     def is_disconnected(self) -> bool:
-        """Whether the client has left, so that nobody waits for the response."""
+        """Return whether the client has left, so that nobody waits for the response."""
         return self._owner.is_disconnected()
 
 
@@ -68,15 +71,15 @@
 
     @property
     def is_full(self) -> bool:
-        """Whether no further request may be taken until a response has been sent."""
+        """Return whether no further request may be accepted until a response has been sent."""
         return len(self) >= MAX_PIPELINED_REQUESTS
 
     def first_response(self) -> HttpResponse | None:
-        """Return the response whose turn it is, if it is there already."""
+        """Return the response to the oldest request, or None if there is none yet."""
         return self[0].response if self else None
 
     def abandon(self) -> list[int]:
-        """Drop all exchanges. Return the ids of the dispatcher's requests that have no response yet."""
+        """Remove all exchanges, and return the ids of the dispatcher's requests that have no response yet."""
         unanswered = [exchange for exchange in self if exchange.response is None]
         self.clear()
         return [exchange.request_id for exchange in unanswered if exchange.request_id is not None]
--- a/balancer/sidecar/downstream/listener.py
+++ b/balancer/sidecar/downstream/listener.py
@@ -6,10 +6,12 @@
 from http import HTTPStatus
 
 from balancer.sidecar.configuration import SidecarConfiguration
-from balancer.sidecar.downstream.connection import CloseReason, DownstreamConnection
+from balancer.sidecar.downstream.connection import DownstreamConnection
+from balancer.sidecar.downstream.connection_lifecycle import CloseReason
 from balancer.sidecar.downstream.connection_registry import ConnectionRegistry
 from balancer.sidecar.downstream.interfaces import RequestDispatcher
 from balancer.sidecar.downstream.request_validator import RequestValidator
+from balancer.sidecar.downstream.timeout_enforcement import EffectiveTimeouts, enforce_timeouts
 from balancer.sidecar.downstream.timeouts import DEFAULT_TIMEOUTS, DownstreamTimeouts
 from balancer.sidecar.http.message import HttpResponse
 from balancer.sidecar.http.request import HttpRequestError, RequestHead
@@ -18,9 +20,9 @@
 
 
 class Listener:
-    """Admits clients' connections, up to a limit, and holds each of them to the time limits.
+    """Admits clients' connections, up to a limit, and enforces the time limits on each of them.
 
-    Shutdown goes by steps, which the caller times: `begin_shutdown`, `begin_draining`,
+    A graceful shutdown has three steps, which the caller times: `begin_shutdown`, `begin_draining` and
     `close_idle_connections`.
 
     Attributes:
@@ -54,57 +56,57 @@
 
     @property
     def linger_timeout_seconds(self) -> float:
-        """How long a connection may linger after our side has been closed."""
+        """Return how long a connection may linger after the sidecar's side has been closed."""
         if self._is_shutting_down:
             return self.timeouts.linger_shutdown_seconds
         return self.timeouts.linger_seconds
 
     @property
     def started_at_seconds(self) -> float:
-        """When the listener was made, by `now_seconds`."""
+        """Return when the listener was created, by `now_seconds`."""
         return self._started_at_seconds
 
     @property
     def accepting_connections(self) -> list[DownstreamConnection]:
-        """The connections that may send requests, those that have not sent one first."""
+        """Return the connections that may send requests, those that have not sent one first."""
         return self._connections.accepting()
 
-    # Requests
+    # ---- requests
 
     def validate_request(self, head: RequestHead, body: bytes) -> ClientRequest:
         """Return the request as the dispatcher takes it. Raises HttpRequestError."""
         request = self._validator.validate(head, body)
         if self.dispatcher.is_duplicate(request.client_request_id):
-            # Two copies of one request must not meet at an endpoint, nor one run after the other.
+            # Two copies of one request must not be executed, neither together nor one after the other.
             raise HttpRequestError(HTTPStatus.CONFLICT, "a request with this Req-Id was taken already")
         return request
 
     def readiness_response(self) -> HttpResponse:
-        """Return 200 once an endpoint is known or the time to wait for a list is over, else 503."""
+        """Return 200 once an endpoint is known or the wait for an endpoint list is over, else 503."""
         seconds_since_start = self.now_seconds() - self._started_at_seconds
         if self.dispatcher.has_endpoints or seconds_since_start >= self.timeouts.first_endpoint_list_seconds:
             return HttpResponse(HTTPStatus.OK, [], b"up\n")
         return HttpResponse(HTTPStatus.SERVICE_UNAVAILABLE, [], b"no endpoint is known yet\n")
 
-    # Events of the connections
+    # ---- events of the connections
 
     def on_connection_opened(self, connection: DownstreamConnection) -> None:
-        """Admit a connection; if there are too many, others make room, or else it is closed itself."""
+        """Admit a connection. If there are too many, another one is closed, or else this one."""
         self._connections.add(connection)
         self._make_room(connection)
         if not self._sweep_timer.is_running:
             self._sweep_timer.start(self.timeouts.sweep_interval_seconds, self.sweep)
 
     def on_request_accepted(self, connection: DownstreamConnection) -> None:
-        """Note that a connection has sent a valid request."""
+        """Record that a connection has sent a valid request."""
         self._connections.mark_used(connection)
 
     def on_connection_lingering(self, connection: DownstreamConnection) -> None:
-        """Note that a connection is closed but for the client's side."""
+        """Record that the sidecar's side of a connection is closed."""
         self._connections.mark_lingering(connection)
 
     def on_connection_closed(self, connection: DownstreamConnection) -> None:
-        """Note that a connection is gone."""
+        """Remove a connection that is closed."""
         self._connections.remove(connection)
         if not len(self._connections):
             self._all_closed.set()
@@ -122,32 +124,39 @@
     def sweep(self) -> None:
         """Close the connections that have waited for too long, and do so again after the sweep interval."""
         now_seconds = self.now_seconds()
-        timeouts = self.timeouts
-        is_crowded = self._connections.is_crowded
-        idle_timeout_seconds = timeouts.idle_crowded_seconds if is_crowded else timeouts.idle_seconds
+        effective = self._effective_timeouts()
         for connection in self._connections.all():
-            connection.enforce_timeouts(now_seconds, idle_timeout_seconds)
+            enforce_timeouts(connection, effective, now_seconds)
         if len(self._connections):
-            self._sweep_timer.start(timeouts.sweep_interval_seconds, self.sweep)
+            self._sweep_timer.start(effective.timeouts.sweep_interval_seconds, self.sweep)
+
+    def _effective_timeouts(self) -> EffectiveTimeouts:
+        timeouts = self.timeouts
+        is_crowded = self._connections.is_crowded
+        return EffectiveTimeouts(
+            timeouts=timeouts,
+            idle_seconds=timeouts.idle_crowded_seconds if is_crowded else timeouts.idle_seconds,
+            linger_seconds=self.linger_timeout_seconds,
+        )
 
-    # Shutdown
+    # ---- graceful shutdown
 
     def begin_shutdown(self) -> None:
-        """Let connections linger for a shorter time, so that no client puts off the end."""
+        """Shorten the time for which connections linger, so that no client delays the shutdown."""
         self._is_shutting_down = True
 
     def begin_draining(self) -> None:
-        """Let responses close their connections from here on, so that clients leave as they are served."""
+        """From now on, close each connection with the response after which it would be idle."""
         self.is_draining = True
 
     def close_idle_connections(self) -> None:
-        """Close the connections on which no request is under way."""
+        """Close the connections that have no request in progress."""
         for connection in self._connections.accepting():
             if connection.is_idle:
                 connection.close_unless_unread(CloseReason.DRAINING)
 
     async def wait_until_closed(self) -> None:
-        """Wait until every response has left and its connection is closed."""
+        """Wait until every connection is closed, all responses having been sent."""
         while len(self._connections):
             self._all_closed.clear()
             await self._all_closed.wait()
--- a/balancer/sidecar/downstream/request_reader.py
+++ b/balancer/sidecar/downstream/request_reader.py
@@ -1,4 +1,4 @@
-"""Cuts the bytes of a connection into requests."""
+"""Divides the bytes of a connection into requests, and records when each of them had arrived."""
 
 from __future__ import annotations
 
@@ -8,63 +8,67 @@
 from balancer.sidecar.http.request import END_OF_HEAD, RequestHead, check_partial_head, parse_request_head
 
 ARRIVAL_RESOLUTION_SECONDS = 0.01
-"""Bytes that arrive within this time count as arrived together: a client may send them one by one."""
+"""Bytes that arrive within this time, in seconds, count as having arrived together.
+
+A client may send its bytes one by one, and each arrival time takes memory.
+"""
 
 
 class ReceivedRequest(NamedTuple):
-    """A whole request, valid by its grammar."""
+    """A complete request that is valid by the grammar of HTTP."""
 
     head: RequestHead
     body: bytes
     arrived_at_seconds: float
-    """When its last byte had arrived at the latest, by the time that `RequestReader.feed` was given."""
+    """When its last byte had arrived at the latest, by the times passed to `RequestReader.feed`."""
 
 
 class _Segment(NamedTuple):
     """Bytes that arrived together."""
 
     end_position: int
-    """Of all bytes that were fed."""
+    """Position of the end of the segment in all bytes that were fed."""
     arrived_at_seconds: float
+    """When the first of its bytes arrived."""
 
 
 class RequestReader:
-    """Holds what has arrived on a connection and is not part of a whole request yet."""
+    """Buffers the bytes of a connection that are not part of a complete request yet."""
 
     __slots__ = (
         "_buffer",
+        "_consumed_bytes",
         "_fed_bytes",
         "_head",
         "_is_continue_expected",
         "_search_start",
         "_segments",
-        "_taken_bytes",
     )
 
     def __init__(self) -> None:
         self._buffer = bytearray()
         self._segments: deque[_Segment] = deque()
-        """Those that are not taken whole, oldest first."""
+        """The segments of which not every byte has been consumed, oldest first."""
         self._fed_bytes = 0
-        self._taken_bytes = 0
+        self._consumed_bytes = 0
         self._search_start = 0
-        """The end of the head is not in the buffer before this position."""
+        """Position in the buffer before which the end of the head does not start."""
         self._head: RequestHead | None = None
         """The head of the request whose body is still arriving."""
         self._is_continue_expected = False
 
     @property
     def is_empty(self) -> bool:
-        """Whether no part of a request is held."""
+        """Return whether no part of a request is buffered."""
         return not self._buffer and self._head is None
 
     @property
     def has_unparsed_bytes(self) -> bool:
-        """Whether bytes are held that `next_request` may find a request in."""
+        """Return whether bytes are buffered in which `next_request` may find a request."""
         return bool(self._buffer)
 
     def feed(self, data: bytes, arrived_at_seconds: float) -> None:
-        """Add what has arrived, and when."""
+        """Append bytes that arrived at this time."""
         self._buffer += data
         self._fed_bytes += len(data)
         if self._segments:
@@ -75,16 +79,16 @@
         self._segments.append(_Segment(self._fed_bytes, arrived_at_seconds))
 
     def clear(self) -> None:
-        """Drop what is held."""
+        """Drop all buffered bytes."""
         self._buffer.clear()
         self._segments.clear()
-        self._taken_bytes = self._fed_bytes
+        self._consumed_bytes = self._fed_bytes
         self._search_start = 0
         self._head = None
         self._is_continue_expected = False
 
     def next_request(self) -> ReceivedRequest | None:
-        """Remove and return the first request, or None until it is whole. Raises HttpRequestError."""
+        """Remove and return the first request, or None until it is complete. Raises HttpRequestError."""
         buffer = self._buffer
         head = self._head or self._read_head()
         if head is None:
@@ -95,14 +99,14 @@
                 self._is_continue_expected = head.expects_continue
             return None
         body = bytes(buffer[: head.content_length])
-        arrived_at_seconds = self._take(head.content_length)
+        arrived_at_seconds = self._consume(head.content_length)
         self._head = None
         return ReceivedRequest(head, body, arrived_at_seconds)
 
     def take_continue_expectation(self) -> bool:
-        """Whether a client waits for 100 (Continue) before it sends the rest of its request.
+        """Return whether the client waits for 100 (Continue) before it sends the rest of its request.
 
-        True at most once for a request: on the first call after `next_request` has found its head.
+        This is true at most once for a request: on the first call after `next_request` has found its head.
         """
         is_expected = self._is_continue_expected
         self._is_continue_expected = False
@@ -117,15 +121,15 @@
             return None
         end += len(END_OF_HEAD)
         head = parse_request_head(bytes(buffer[:end]))
-        self._take(end)
+        self._consume(end)
         self._search_start = 0
         return head
 
-    def _take(self, size_bytes: int) -> float:
-        """Remove bytes from the buffer, and return when the last byte taken so far had arrived."""
+    def _consume(self, size_bytes: int) -> float:
+        """Remove bytes from the front of the buffer, and return when the last of them had arrived."""
         del self._buffer[:size_bytes]
-        self._taken_bytes += size_bytes
+        self._consumed_bytes += size_bytes
         segments = self._segments
-        while segments[0].end_position < self._taken_bytes:
+        while segments[0].end_position < self._consumed_bytes:
             segments.popleft()
         return segments[0].arrived_at_seconds
--- a/balancer/sidecar/downstream/request_validator.py
+++ b/balancer/sidecar/downstream/request_validator.py
@@ -1,4 +1,4 @@
-"""Checks of a request's fields against the settings, and the head that goes on to an endpoint."""
+"""Validates a request's fields against the settings, and encodes the head to forward to an endpoint."""
 
 from __future__ import annotations
 
@@ -26,30 +26,45 @@
 from balancer.time_units import SECOND_NS
 
 MICROSECOND_NS = 1_000
+"""Nanoseconds in a microsecond, the unit of the work hint."""
+
 NO_KEY_HASH = 0
+"""Hash of a request without a key, which no key has."""
+
 KEY_PARAMETER = b"k="
+"""Start of the query parameter that names what a request is about."""
+
 KEY_HASH_BYTES = 8
+"""Length of a key's hash in bytes: 64 bits, so that two keys hardly ever share a hash."""
 
-# Numbers are digits and a point only: float() and int() would take nan, inf, 1e9, 1_0 and more.
 _DECIMAL_SECONDS = re.compile(rb"[0-9]{1,9}(?:\.[0-9]{1,9})?")
+"""A number of seconds; float() alone would accept nan, inf, 1e9, 1_0 and more."""
+
 _MICROSECONDS = re.compile(rb"[0-9]{1,12}")
+"""A whole number of microseconds; int() alone would accept 1_0, +1 and more."""
+
 _REQUEST_ID = re.compile(rb"[\x21-\x7e]{1,128}")
+"""A request id: visible ASCII characters, short enough to keep the ids of all recent requests."""
 
-# The spelling in which the forwarded fields go on, by lower-case name.
 _FORWARDED_SPELLING = {name: name.title() for name in FORWARDED_FIELDS}
+"""The names of the forwarded fields as they are sent to endpoints, by lower-case name."""
 
 
 class _ClassRule(NamedTuple):
-    """What a request of a class must look like."""
+    """What a request of one request class must look like."""
 
     class_index: int
+    """Position of the class in the settings."""
     client_timeout_ns: int
+    """The longest time that a client of the class waits for its response."""
     method: bytes
+    """The only method that the class allows."""
     requires_idempotency_key: bool
+    """Whether a request must carry an idempotency key."""
 
 
 class RequestValidator:
-    """Checks requests against the request classes and tenants of the settings."""
+    """Validates requests against the request classes and tenants of the settings."""
 
     def __init__(self, config: SidecarConfiguration) -> None:
         settings = config.settings
@@ -87,7 +102,7 @@
         )
 
     def _find_tenant(self, fields: dict[bytes, bytes]) -> int:
-        """Return the tenant's index; 0 where the settings know no tenants."""
+        """Return the tenant's index; 0 if the settings define no tenants. Raises HttpRequestError."""
         if not self._tenant_indices:
             return 0
         tenant_index = self._tenant_indices.get(fields.get(TENANT_FIELD, b""))
@@ -97,6 +112,7 @@
 
 
 def _check_method(head: RequestHead, body: bytes, rule: _ClassRule) -> None:
+    """Check the method, and what goes with it, against the class. Raises HttpRequestError."""
     if head.method != rule.method:
         raise HttpRequestError(HTTPStatus.METHOD_NOT_ALLOWED, "the method does not fit the class")
     if body and rule.method == b"GET":
@@ -106,7 +122,10 @@
 
 
 def hash_request_key(target: bytes) -> int:
-    """Hash the key in a target's query to 64 bits, the same at every sidecar; NO_KEY_HASH without a key."""
+    """Return a 64-bit hash of the key in a target's query, or NO_KEY_HASH if it has none.
+
+    All sidecars compute the same hash.
+    """
     _, _, query = target.partition(b"?")
     for parameter in query.split(b"&"):
         if parameter.startswith(KEY_PARAMETER) and len(parameter) > len(KEY_PARAMETER):
@@ -125,12 +144,12 @@
 
 
 def parse_work_hint_ns(text: bytes) -> int:
-    """Convert the client's estimate of the work, in microseconds, to nanoseconds; 0 if it is malformed."""
+    """Convert the client's estimate of the work from microseconds to nanoseconds; 0 if it is malformed."""
     return int(text) * MICROSECOND_NS if _MICROSECONDS.fullmatch(text) else 0
 
 
 def encode_forwarded_head(head: RequestHead, with_idempotency_key: bool) -> bytes:
-    """Return the head as it goes on, without the deadline and the empty line, which each attempt adds."""
+    """Return the head to forward, without the deadline and the empty line, which each attempt adds."""
     lines = [b"%s %s HTTP/1.1" % (head.method, head.target)]
     lines += [
         b"%s: %s" % (_FORWARDED_SPELLING[name], value)
--- a/balancer/sidecar/downstream/response.py
+++ b/balancer/sidecar/downstream/response.py
@@ -11,9 +11,9 @@
 CONTINUE_RESPONSE = b"HTTP/1.1 100 Continue\r\n\r\n"
 """The interim response to a request with `Expect: 100-continue` (RFC 9110, section 15.2.1)."""
 
-_HEADERS_NOT_FORWARDED = frozenset(
+_UNFORWARDED_HEADERS = frozenset(
     (
-        # These concern one connection only (RFC 9110, section 7.6.1).
+        # Hop-by-hop headers, which concern one connection only (RFC 9110, section 7.6.1).
         b"connection",
         b"keep-alive",
         b"proxy-connection",
@@ -21,13 +21,14 @@
         b"trailer",
         b"transfer-encoding",
         b"upgrade",
-        # This one is written anew.
+        # Written by `encode_response`.
         b"content-length",
-        # These are meant for sidecars.
+        # Headers for the sidecar itself.
         b"srv-load",
         b"srv-declined",
     )
 )
+"""Names of the headers of an endpoint's response that clients don't get, in lower case."""
 
 _STATUS_LINES = {
     int(status): b"HTTP/1.1 %d %s" % (status, status.phrase.encode("ascii")) for status in HTTPStatus
@@ -36,13 +37,13 @@
 
 
 def forwarded_response(response: HttpResponse) -> HttpResponse:
-    """Return an endpoint's successful response without the headers that are not for the client."""
-    headers = [header for header in response.headers if header[0] not in _HEADERS_NOT_FORWARDED]
+    """Return an endpoint's successful response without the headers that clients don't get."""
+    headers = [header for header in response.headers if header[0] not in _UNFORWARDED_HEADERS]
     return HttpResponse(HTTPStatus.OK, headers, response.body)
 
 
 def rejected_response(retry_after_ns: int) -> HttpResponse:
-    """Return the response to a request that was never executed; 0: without Retry-After."""
+    """Return the response to a rejected request, which was never executed (0: without Retry-After)."""
     headers: Headers = []
     if retry_after_ns:
         headers.append((b"Retry-After", b"%.3f" % (retry_after_ns / SECOND_NS)))
@@ -61,7 +62,7 @@
 
 
 def encode_response(response: HttpResponse, close: bool) -> bytes:
-    """Encode a response; `close` announces that the connection ends after it (RFC 9112, section 9.6)."""
+    """Encode a response. `close` announces that the connection ends after it (RFC 9112, section 9.6)."""
     lines = [_STATUS_LINES[response.status]]
     lines += [b"%s: %s" % header for header in response.headers]
     lines.append(b"Content-Length: %d" % len(response.body))
--- /dev/null
+++ b/balancer/sidecar/downstream/timeout_enforcement.py
@@ -0,0 +1,70 @@
+"""Ends client connections that have waited for too long, or whose client has left unnoticed."""
+
+from __future__ import annotations
+
+from http import HTTPStatus
+from typing import NamedTuple
+
+from balancer.sidecar.downstream.connection import DownstreamConnection
+from balancer.sidecar.downstream.connection_lifecycle import CloseReason
+from balancer.sidecar.downstream.timeouts import DownstreamTimeouts
+from balancer.sidecar.http.request import HttpRequestError
+
+
+class EffectiveTimeouts(NamedTuple):
+    """The time limits of one sweep, in seconds."""
+
+    timeouts: DownstreamTimeouts
+    """The limits that do not depend on the state of the listener."""
+    idle_seconds: float
+    """Limit between two requests, which is shorter while many connections are open."""
+    linger_seconds: float
+    """Limit for lingering, which is shorter during shutdown."""
+
+
+def enforce_timeouts(
+    connection: DownstreamConnection, effective: EffectiveTimeouts, now_seconds: float
+) -> None:
+    """End a connection if it has waited for too long, or if its client has left unnoticed by an event.
+
+    Args:
+        connection: the connection.
+        effective: the limits that hold at present.
+        now_seconds: the event loop's time.
+    """
+    if not connection.is_connected:
+        return
+    if _has_client_left_unnoticed(connection):
+        connection.abort(CloseReason.CLIENT_LEFT)
+        return
+    waited_seconds = connection.seconds_waited(now_seconds)
+    if connection.lifecycle.is_lingering or not connection.is_open:
+        if waited_seconds > effective.linger_seconds:
+            connection.abort(CloseReason.LINGERED)
+    elif connection.flow_control.is_write_blocked:
+        if waited_seconds > effective.timeouts.unread_response_seconds:
+            connection.abort(CloseReason.UNREAD_RESPONSES)
+    elif connection.is_idle:
+        if waited_seconds > _idle_timeout_seconds(connection, effective):
+            connection.close_unless_unread(CloseReason.IDLE)
+    elif not connection.has_pending_responses and waited_seconds > _request_timeout_seconds(
+        connection, effective.timeouts
+    ):
+        connection.reject_request(HttpRequestError(HTTPStatus.REQUEST_TIMEOUT))
+
+
+def _has_client_left_unnoticed(connection: DownstreamConnection) -> bool:
+    """Return whether the client has left while reading is paused, when no event reports it."""
+    return connection.flow_control.is_reading_paused and connection.is_open and connection.is_disconnected()
+
+
+def _idle_timeout_seconds(connection: DownstreamConnection, effective: EffectiveTimeouts) -> float:
+    if connection.has_sent_request:
+        return effective.idle_seconds
+    return effective.timeouts.first_byte_seconds
+
+
+def _request_timeout_seconds(connection: DownstreamConnection, timeouts: DownstreamTimeouts) -> float:
+    if connection.has_sent_request:
+        return timeouts.request_seconds
+    return timeouts.first_request_seconds
--- a/tests/sidecar/downstream/harness.py
+++ b/tests/sidecar/downstream/harness.py
@@ -1,4 +1,4 @@
-"""Clients on plain sockets, and a sidecar whose sweeps come when a test calls for one."""
+"""The harness of the tests of the downstream side: clients on plain sockets, and sweeps on demand."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 """A way to make a sidecar close an idle connection."""
 
 TIMEOUTS = DownstreamTimeouts(sweep_interval_seconds=1e6)
-"""The usual time limits, but no sweep within the time of a test."""
+"""The time limits of production, but without a sweep during a test."""
 
 run_sidecar_without_sweeps = partial(run_sidecar, timeouts=TIMEOUTS)
 
@@ -94,7 +94,7 @@
 
 
 async def receive_all(client: socket) -> bytes:
-    """Return what comes until the sidecar closes its side. Raises ConnectionResetError if it resets."""
+    """Return the bytes that arrive until the sidecar closes its side. Raises ConnectionResetError."""
     client.setblocking(False)
     loop = asyncio.get_running_loop()
     received = bytearray()
@@ -103,8 +103,8 @@
     return bytes(received)
 
 
-def is_whole_response(received: bytes, status: bytes, body: bytes) -> bool:
-    """Whether these bytes begin and end as the response with this status and body."""
+def is_complete_response(received: bytes, status: bytes, body: bytes) -> bool:
+    """Return whether these bytes begin and end as the response with this status and body."""
     return received.startswith(b"HTTP/1.1 " + status) and received.endswith(b"\r\n\r\n" + body)
 
 
@@ -144,7 +144,9 @@
     async def wait_until_last_response(self) -> None:
         """Wait until the last response has been written."""
         await wait_until(
-            lambda: not self.connection.accepts_requests and not self.connection.has_pending_responses
+            lambda: (
+                not self.connection.lifecycle.accepts_requests and not self.connection.has_pending_responses
+            )
         )
 
     async def disconnect(self) -> None:
--- a/tests/sidecar/downstream/test_acceptor.py
+++ b/tests/sidecar/downstream/test_acceptor.py
@@ -103,23 +103,23 @@
 @async_test
 async def test_connections_that_had_to_wait_are_told_since_when() -> None:
     loop = asyncio.get_running_loop()
-    waited_since: list[float | None] = []
+    waited_since_seconds: list[float | None] = []
 
     def make_greeter(unread_since_seconds: float | None) -> Greeter:
-        waited_since.append(unread_since_seconds)
+        waited_since_seconds.append(unread_since_seconds)
         return Greeter(unread_since_seconds)
 
     listening = open_listening_socket(("127.0.0.1", 0))
     failing = cast(socket.socket, FailingSocket(listening, errno.ENFILE, errno.ENFILE))
     metrics = Metrics()
     acceptor = Acceptor(failing, loop, make_greeter, metrics)
-    started_at = loop.time()
+    started_at_seconds = loop.time()
     acceptor.start()
     for _ in range(2):
         assert await greeting_at(listening.getsockname()) == b"hello"
-    first, second = waited_since
-    assert first is not None
-    assert started_at <= first <= loop.time()
-    assert second is None
+    first_seconds, second_seconds = waited_since_seconds
+    assert first_seconds is not None
+    assert started_at_seconds <= first_seconds <= loop.time()
+    assert second_seconds is None
     assert metrics.value(Metric.ACCEPT_FAILURES, "ENFILE") == 2
     await acceptor.close()
--- a/tests/sidecar/downstream/test_client_disconnect.py
+++ b/tests/sidecar/downstream/test_client_disconnect.py
@@ -1,10 +1,12 @@
-"""Clients that disconnect: no attempt begins for them any more, whether or not an event reports it."""
+"""Clients that disconnect: no attempt is started for them any more, whether or not an event reports it."""
 
 from __future__ import annotations
 
 import asyncio
-from collections.abc import Callable
+import contextlib
+from collections.abc import AsyncIterator, Callable
 from enum import Enum
+from functools import partial
 from socket import SHUT_WR, socket
 
 import pytest
@@ -22,6 +24,7 @@
 )
 from tests.sidecar.harness import (
     ReceivedRequest,
+    Script,
     Sidecar,
     answer_ok,
     async_test,
@@ -30,6 +33,7 @@
     run_endpoint,
     wait_until,
 )
+from tests.sidecar.upstream.harness import received_request_count
 
 DECLINED_RESPONSE = b"HTTP/1.1 503 X\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n"
 
@@ -64,7 +68,7 @@
 
 
 def disconnected_count(sidecar: Sidecar) -> int:
-    """How many requests the policy was told of that their client has left."""
+    """Return for how many requests the policy got the event that their client has left."""
     return sum(isinstance(event, ClientDisconnected) for event in sidecar.events)
 
 
@@ -81,7 +85,10 @@
     if state is ConnectionState.READING_PAUSED_BY_PIPELINE:
         client.sendall(b"".join(request_bytes() for _ in range(MAX_PIPELINED_REQUESTS + 3)))
         await wait_until(
-            lambda: attempt_count() == MAX_PIPELINED_REQUESTS and only_connection(sidecar).is_reading_paused
+            lambda: (
+                attempt_count() == MAX_PIPELINED_REQUESTS
+                and only_connection(sidecar).flow_control.is_reading_paused
+            )
         )
         return MAX_PIPELINED_REQUESTS
     client.sendall(request_bytes(extra_headers=b"" if state is ConnectionState.ONE_REQUEST else CLOSE_HEADER))
@@ -89,15 +96,28 @@
     if state is ConnectionState.READING_PAUSED_BY_FLOOD:
         client.setblocking(False)
         client.send(b"x" * 200_000)
-        await wait_until(lambda: only_connection(sidecar).is_reading_paused)
+        await wait_until(lambda: only_connection(sidecar).flow_control.is_reading_paused)
     return 1
 
 
+@contextlib.asynccontextmanager
+async def run_sidecar_with_two_endpoints(
+    script: Script,
+) -> AsyncIterator[tuple[Sidecar, Callable[[], int]]]:
+    """Run a sidecar with two endpoints, and return it with what counts the requests that both received."""
+    async with (
+        run_endpoint(script) as first,
+        run_endpoint(script) as second,
+        run_sidecar_without_sweeps(first.address, second.address) as sidecar,
+    ):
+        yield sidecar, partial(received_request_count, first, second)
+
+
 @pytest.mark.parametrize("how", Disconnect)
 @pytest.mark.parametrize("state", ConnectionState)
 @async_test
 async def test_first_attempt_is_not_sent_after_disconnect_while_connecting(
-    monkeypatch: pytest.MonkeyPatch, state: ConnectionState, how: Disconnect
+    state: ConnectionState, how: Disconnect
 ) -> None:
     async with run_endpoint(answer_ok) as endpoint, run_sidecar_without_sweeps(endpoint.address) as sidecar:
         upstream = sidecar.dispatcher.upstream
@@ -114,7 +134,7 @@
             return connection  # the attempt would be sent in this turn of the event loop
 
         with connect_socket(sidecar) as client:
-            monkeypatch.setattr(upstream, "connect", connect_and_disconnect_client)
+            upstream.connect = connect_and_disconnect_client
             request_count = await send_requests(sidecar, client, state, lambda: connected_count)
             connections_released.set()
             await wait_until(lambda: disconnected_count(sidecar) == request_count)
@@ -123,7 +143,7 @@
             completed = [event for event in sidecar.events if isinstance(event, AttemptCompleted)]
             expected = [(AttemptOutcome.NOT_SENT, True)] * request_count
             assert [(event.outcome, event.request_finished) for event in completed] == expected
-            monkeypatch.setattr(upstream, "connect", connect)
+            upstream.connect = connect
             other_client = await sidecar.connect_client()
             assert (await other_client.exchange(request_bytes(request_id="77")))[0] == 200
             assert [received.headers[b"req-id"] for received in endpoint.received_requests] == [b"77"]
@@ -141,15 +161,7 @@
         await responses_released.wait()
         return DECLINED_RESPONSE
 
-    async with (
-        run_endpoint(decline_when_released) as first_endpoint,
-        run_endpoint(decline_when_released) as second_endpoint,
-        run_sidecar_without_sweeps(first_endpoint.address, second_endpoint.address) as sidecar,
-    ):
-
-        def attempt_count() -> int:
-            return len(first_endpoint.received_requests) + len(second_endpoint.received_requests)
-
+    async with run_sidecar_with_two_endpoints(decline_when_released) as (sidecar, attempt_count):
         with connect_socket(sidecar) as client:
             request_count = await send_requests(sidecar, client, state, attempt_count)
             handle = sidecar.balancer.handle
@@ -185,19 +197,15 @@
         await response_released.wait()
         return DECLINED_RESPONSE
 
-    async with (
-        run_endpoint(respond_at_length_and_decline_posts) as first_endpoint,
-        run_endpoint(respond_at_length_and_decline_posts) as second_endpoint,
-        run_sidecar_without_sweeps(first_endpoint.address, second_endpoint.address) as sidecar,
-    ):
+    async with run_sidecar_with_two_endpoints(respond_at_length_and_decline_posts) as (sidecar, _):
         sidecar.dispatcher.upstream.buffer_budget.max_bytes = 1 << 30
         with connect_socket(sidecar) as client:
             gets = [request_bytes() for _ in range(MAX_PIPELINED_REQUESTS - 1)]
             client.sendall(b"".join(gets) + request_bytes("post", body=b"x", extra_headers=extra))
             await wait_until(lambda: posts and len(sidecar.dispatcher.ledger.in_flight) == 1)
             connection = only_connection(sidecar)
-            assert connection.is_write_blocked
-            assert connection.is_reading_paused == (not extra)
+            assert connection.flow_control.is_write_blocked
+            assert connection.flow_control.is_reading_paused == (not extra)
             disconnect(client, how)
             if extra and how is Disconnect.HALF_CLOSE:
                 await wait_until(lambda: disconnected_count(sidecar))  # an event reports it
--- /dev/null
+++ b/tests/sidecar/downstream/test_connection_timeouts.py
@@ -0,0 +1,56 @@
+"""The time limits of a client's connection that is silent, slow to send, or does not read."""
+
+from __future__ import annotations
+
+import asyncio
+from typing import cast
+
+from balancer.sidecar.downstream.timeouts import DownstreamTimeouts
+from tests.sidecar.harness import (
+    ReceivedRequest,
+    answer_ok,
+    async_test,
+    ok_response,
+    request_bytes,
+    run_endpoint,
+    run_sidecar,
+    wait_until,
+)
+
+
+@async_test
+async def test_silent_connection_and_partial_request_time_out() -> None:
+    async with run_endpoint(answer_ok) as endpoint, run_sidecar(endpoint.address) as sidecar:
+        idle = await sidecar.connect_client()
+        assert (await idle.exchange(request_bytes()))[0] == 200
+        sidecar.listener.timeouts = DownstreamTimeouts(
+            sweep_interval_seconds=0.05, first_byte_seconds=0.05, first_request_seconds=0.05
+        )
+        silent, partial_head, partial_body = [await sidecar.connect_client() for _ in range(3)]
+        partial_head.writer.write(request_bytes()[:-2])
+        partial_body.writer.write(request_bytes("post", body=b"x" * 100)[:-1])
+        for client in (partial_head, partial_body):
+            assert (await client.read_response())[0] == 408
+            assert await client.is_closed()
+        assert await silent.is_closed()
+        # This one has been idle for longer than the silent one.
+        assert (await idle.exchange(request_bytes()))[0] == 200
+
+
+@async_test
+async def test_client_that_reads_no_responses_is_disconnected() -> None:
+    timeouts = DownstreamTimeouts(
+        sweep_interval_seconds=0.05, unread_response_seconds=0.05, linger_seconds=0.05
+    )
+
+    async def respond_at_length(_request: ReceivedRequest) -> bytes:
+        return ok_response(b"x" * 64_000)
+
+    async with (
+        run_endpoint(respond_at_length) as endpoint,
+        run_sidecar(endpoint.address, timeouts=timeouts) as sidecar,
+    ):
+        client = await sidecar.connect_client()
+        cast(asyncio.Transport, client.writer.transport).pause_reading()
+        client.writer.write(b"".join(request_bytes() for _ in range(400)))
+        await wait_until(lambda: endpoint.received_requests and not len(sidecar.listener))
--- a/tests/sidecar/downstream/test_listener.py
+++ b/tests/sidecar/downstream/test_listener.py
@@ -146,7 +146,7 @@
 
     @staticmethod
     def _is_done(connection: DownstreamConnection) -> bool:
-        return connection.is_lingering or (connection.has_sent_request and connection.is_idle)
+        return connection.lifecycle.is_lingering or (connection.has_sent_request and connection.is_idle)
 
 
 @async_test
@@ -165,7 +165,7 @@
         with contextlib.ExitStack() as clients:
             for index in range(60):  # none of them closes its side
                 await recorder.send_first_bytes(index, clients.enter_context(connect_socket(sidecar)))
-            closed = [connection for connection in connections if connection.is_lingering]
+            closed = [connection for connection in connections if connection.lifecycle.is_lingering]
             lingering = [connection for connection in closed if connection.is_connected]
             assert recorder.max_connection_count <= MAX_CONNECTIONS + MAX_CLOSING_CONNECTIONS
             assert len(lingering) <= 3
--- /dev/null
+++ b/tests/sidecar/downstream/test_pipelining.py
@@ -0,0 +1,146 @@
+"""Pipelined requests on a client's connection: how many are accepted, and when they count as arrived."""
+
+from __future__ import annotations
+
+import asyncio
+import contextlib
+from collections.abc import AsyncIterator
+from typing import NamedTuple
+
+from balancer.sidecar.downstream.exchange import MAX_PIPELINED_REQUESTS
+from tests.sidecar.downstream.harness import (
+    run_client_session,
+    run_sidecar_without_sweeps,
+    set_time,
+)
+from tests.sidecar.harness import (
+    Client,
+    ReceivedRequest,
+    ScriptedEndpoint,
+    Sidecar,
+    async_test,
+    ok_response,
+    request_bytes,
+    run_endpoint,
+    run_sidecar,
+    wait_until,
+)
+
+
+@async_test
+async def test_pipelined_requests_in_flight_are_limited() -> None:
+    max_in_flight = 0
+
+    async def count_in_flight(_request: ReceivedRequest) -> bytes:
+        nonlocal max_in_flight
+        max_in_flight = max(max_in_flight, len(sidecar.dispatcher.ledger.in_flight))
+        return ok_response()
+
+    async with run_endpoint(count_in_flight) as endpoint, run_sidecar(endpoint.address) as sidecar:
+        client = await sidecar.connect_client()
+        client.writer.write(b"".join(request_bytes() for _ in range(300)))
+        for _ in range(300):
+            assert (await client.read_response())[0] in (200, 503)
+        assert 1 <= max_in_flight <= MAX_PIPELINED_REQUESTS
+
+
+class HeldPipeline(NamedTuple):
+    """As many pipelined requests as are accepted at once, which the endpoint answers once released."""
+
+    sidecar: Sidecar
+    endpoint: ScriptedEndpoint
+    client: Client
+    released: asyncio.Event
+
+    def announced_seconds(self) -> list[float]:
+        """Return the remaining time that each attempt announced to the endpoint, in seconds."""
+        return [float(request.headers[b"req-deadline"]) for request in self.endpoint.received_requests]
+
+    async def wait_for_further_request(self) -> None:
+        """Wait until the endpoint has more requests than are accepted at once."""
+        await wait_until(lambda: len(self.endpoint.received_requests) > MAX_PIPELINED_REQUESTS)
+
+
+def stop_clocks(sidecar: Sidecar) -> None:
+    """Stop the sidecar's clock, so that the times that attempts announce are exact."""
+    now_ns = sidecar.dispatcher.now_ns()
+    sidecar.dispatcher.now_ns = lambda: now_ns
+    sidecar.dispatcher.upstream.now_ns = lambda: now_ns
+
+
+@contextlib.asynccontextmanager
+async def run_held_pipeline(further_requests: int = 0) -> AsyncIterator[HeldPipeline]:
+    """Send pipelined requests with 8 s each at time 100, some more than are accepted at once."""
+    released = asyncio.Event()
+
+    async def answer_when_released(_request: ReceivedRequest) -> bytes:
+        await released.wait()
+        return ok_response()
+
+    async with (
+        run_endpoint(answer_when_released) as endpoint,
+        run_sidecar_without_sweeps(endpoint.address) as sidecar,
+    ):
+        stop_clocks(sidecar)
+        set_time(sidecar, 100.0)
+        client = await sidecar.connect_client()
+        count = MAX_PIPELINED_REQUESTS + further_requests
+        client.writer.write(b"".join(request_bytes(deadline="8") for _ in range(count)))
+        await wait_until(lambda: len(endpoint.received_requests) == MAX_PIPELINED_REQUESTS)
+        yield HeldPipeline(sidecar, endpoint, client, released)
+
+
+@async_test
+async def test_pipelined_request_that_waited_for_room_has_less_time_left() -> None:
+    async with run_held_pipeline(further_requests=1) as pipeline:
+        set_time(pipeline.sidecar, 103.0)
+        pipeline.released.set()
+        await pipeline.wait_for_further_request()
+        assert pipeline.announced_seconds() == [7.99] * MAX_PIPELINED_REQUESTS + [4.99]
+
+
+@async_test
+async def test_request_read_after_a_pause_counts_from_the_start_of_the_pause() -> None:
+    """Its bytes wait in the socket, and nothing reports when they arrived."""
+    async with run_held_pipeline() as pipeline:
+        sidecar, client = pipeline.sidecar, pipeline.client
+        [connection] = sidecar.listener.accepting_connections
+        assert connection.flow_control.is_reading_paused
+        set_time(sidecar, 102.0)
+        client.writer.write(request_bytes(deadline="8"))
+        await wait_until(connection.has_unread_bytes)
+        set_time(sidecar, 103.0)
+        pipeline.released.set()
+        await pipeline.wait_for_further_request()
+        assert pipeline.announced_seconds()[-1] == 4.99
+        for _ in range(MAX_PIPELINED_REQUESTS + 1):
+            assert (await client.read_response())[0] == 200
+        client.writer.write(request_bytes(deadline="8"))  # no longer behind the pause
+        assert (await client.read_response())[0] == 200
+        assert pipeline.announced_seconds()[-1] == 7.99
+
+
+@async_test
+async def test_request_that_is_read_in_small_parts_counts_from_when_it_had_arrived() -> None:
+    """The socket had all of it when its first part was read; a read may return less than there is."""
+    async with run_client_session() as session:
+        stop_clocks(session.sidecar)
+        session.client.sendall(b"x" * 10)
+        assert session.connection.has_unread_bytes()
+        raw = request_bytes(deadline="8")
+        set_time(session.sidecar, 100.0)
+        session.connection.data_received(raw[:10])
+        set_time(session.sidecar, 103.0)
+        session.connection.data_received(raw[10:])
+        await wait_until(lambda: session.endpoint.received_requests)
+        assert float(session.endpoint.received_requests[0].headers[b"req-deadline"]) == 4.99
+
+
+@async_test
+async def test_pipelined_request_whose_time_is_over_is_answered_and_not_sent() -> None:
+    async with run_held_pipeline(further_requests=1) as pipeline:
+        set_time(pipeline.sidecar, 109.0)
+        pipeline.released.set()
+        statuses = [(await pipeline.client.read_response())[0] for _ in range(MAX_PIPELINED_REQUESTS + 1)]
+        assert statuses == [200] * MAX_PIPELINED_REQUESTS + [503]
+        assert len(pipeline.endpoint.received_requests) == MAX_PIPELINED_REQUESTS
--- a/tests/sidecar/downstream/test_request_reader.py
+++ b/tests/sidecar/downstream/test_request_reader.py
@@ -1,4 +1,4 @@
-"""Cutting the bytes of a connection into requests, and when these had arrived."""
+"""Dividing the bytes of a connection into requests, and when these had arrived."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 
 
 def arrival_times(reader: RequestReader) -> list[float]:
-    """Take all whole requests, and return when each had arrived."""
-    times = []
+    """Remove all complete requests, and return when each had arrived, in seconds."""
+    times_seconds = []
     while reader.has_unparsed_bytes and (request := reader.next_request()) is not None:
-        times.append(request.arrived_at_seconds)
-    return times
+        times_seconds.append(request.arrived_at_seconds)
+    return times_seconds
 
 
 def test_request_arrives_with_its_last_byte() -> None:
@@ -24,7 +24,7 @@
     assert arrival_times(reader) == [2.0, 2.0]
 
 
-def test_requests_that_are_taken_later_keep_their_times() -> None:
+def test_requests_that_are_removed_later_keep_their_times() -> None:
     reader = RequestReader()
     reader.feed(request_bytes() + request_bytes()[:7], 1.0)
     reader.feed(request_bytes()[7:], 2.0)
@@ -35,12 +35,12 @@
 def test_bytes_one_by_one_count_from_their_first_within_the_resolution() -> None:
     reader = RequestReader()
     raw = request_bytes()
-    step = 2 * ARRIVAL_RESOLUTION_SECONDS / len(raw)
+    step_seconds = 2 * ARRIVAL_RESOLUTION_SECONDS / len(raw)
     for index in range(len(raw)):
-        reader.feed(raw[index : index + 1], index * step)
-    [arrived_at] = arrival_times(reader)
-    end = (len(raw) - 1) * step
-    assert end - ARRIVAL_RESOLUTION_SECONDS <= arrived_at <= end
+        reader.feed(raw[index : index + 1], index * step_seconds)
+    [arrived_at_seconds] = arrival_times(reader)
+    end_seconds = (len(raw) - 1) * step_seconds
+    assert end_seconds - ARRIVAL_RESOLUTION_SECONDS <= arrived_at_seconds <= end_seconds
 
 
 def test_cleared_bytes_leave_no_time() -> None:
