--- a/balancer/sidecar/downstream/timeout_enforcement.py
+++ b/balancer/sidecar/downstream/timeout_enforcement.py
@@ -47,9 +47,7 @@
     elif connection.is_idle:
         if waited_seconds > _idle_timeout_seconds(connection, effective):
             connection.close_unless_unread(CloseReason.IDLE)
-    elif not connection.has_pending_responses and waited_seconds > _request_timeout_seconds(
-        connection, effective.timeouts
-    ):
+    elif _is_request_overdue(connection, effective.timeouts, waited_seconds):
         connection.reject_request(HttpRequestError(HTTPStatus.REQUEST_TIMEOUT))
 
 
@@ -64,7 +62,12 @@
     return effective.timeouts.first_byte_seconds
 
 
-def _request_timeout_seconds(connection: DownstreamConnection, timeouts: DownstreamTimeouts) -> float:
+def _is_request_overdue(
+    connection: DownstreamConnection, timeouts: DownstreamTimeouts, waited_seconds: float
+) -> bool:
+    """Return whether a partial request has been arriving for too long, with no earlier one in progress."""
+    if connection.has_pending_responses:
+        return False
     if connection.has_sent_request:
-        return timeouts.request_seconds
-    return timeouts.first_request_seconds
+        return waited_seconds > timeouts.request_seconds
+    return waited_seconds > timeouts.first_request_seconds
