--- a/soak/mutants.py
+++ b/soak/mutants.py
@@ -137,8 +137,8 @@
     ),
     _mutant(
         "peers that send no valid request time out",
-        "balancer/sidecar/downstream/connection.py",
-        "elif not self.has_pending_responses and waited > self._request_timeout_seconds():",
+        "balancer/sidecar/downstream/timeout_enforcement.py",
+        "elif _is_request_overdue(connection, effective.timeouts, waited_seconds):",
         "elif False:",
     ),
     _mutant(
