--- a/balancer/sidecar/upstream/connection_acquisition.py
+++ b/balancer/sidecar/upstream/connection_acquisition.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import asyncio
+import math
 from collections.abc import Callable
 
 from balancer.sidecar.http.outbound_connection import OutboundConnection
@@ -14,10 +15,14 @@
     connect_error,
 )
 from balancer.sidecar.upstream.pool import EndpointPool
+from balancer.time_units import SECOND_NS
 
 TIMER_RESOLUTION_SECONDS = 0.001
 """Added to a delay that must not end early, in seconds: the event loop rounds its timers to milliseconds."""
 
+MAX_SLEEPS = 3
+"""Most sleeps for one delay; each may end up to 1.5 ms early, as delay and loop time are rounded."""
+
 MAX_SHORTAGE_RETRIES = 5
 """Retries of a connect while this machine is short of a resource, which may be free again soon."""
 
@@ -50,7 +55,7 @@
         the delay. Raises ConnectError.
         """
         if reuse_delay_seconds > 0:
-            await asyncio.sleep(reuse_delay_seconds + TIMER_RESOLUTION_SECONDS)
+            await self._wait(reuse_delay_seconds)
             if not self._is_wanted():
                 return None
             connection = self._take_idle()
@@ -59,6 +64,16 @@
             self._check_room()
         return await self._open()
 
+    async def _wait(self, delay_seconds: float) -> None:
+        """Wait until a delay is over by the sidecar's clock; the event loop may end a sleep early."""
+        end_ns = self._provider.now_ns() + math.ceil(delay_seconds * SECOND_NS)
+        remaining_seconds = delay_seconds
+        for _ in range(MAX_SLEEPS):
+            await asyncio.sleep(remaining_seconds + TIMER_RESOLUTION_SECONDS)
+            remaining_seconds = (end_ns - self._provider.now_ns()) / SECOND_NS
+            if remaining_seconds <= 0 or not self._is_wanted():
+                return
+
     async def _open(self) -> OutboundConnection:
         """Return a new connection. Raises ConnectError.
 
--- a/tests/sidecar/upstream/harness.py
+++ b/tests/sidecar/upstream/harness.py
@@ -162,17 +162,21 @@
         upstream = sidecar.dispatcher.upstream
         self.now_ns = upstream.now_ns()
         self.waiting: list[asyncio.Future[None]] = []
+        self._held_tasks: list[asyncio.Task[object] | None] = []
+        self._released_tasks: set[asyncio.Task[object] | None] = set()
         self._is_open = False
         self._sleep = asyncio.sleep
         upstream.now_ns = lambda: self.now_ns
         monkeypatch.setattr(asyncio, "sleep", self._hold)
 
     async def _hold(self, seconds: float) -> None:
-        if not seconds or self._is_open:
+        task = asyncio.current_task()
+        if not seconds or self._is_open or task in self._released_tasks:
             await self._sleep(0)
             return
         release = asyncio.get_running_loop().create_future()
         self.waiting.append(release)
+        self._held_tasks.append(task)
         await release
 
     async def wait_for_attempts(self, count: int) -> None:
@@ -180,7 +184,8 @@
         await wait_until(lambda: len(self.waiting) >= count)
 
     def release_first(self) -> None:
-        """Let the attempt that was held first go on."""
+        """Let the attempt that was held first go on, whatever it waits for after this."""
+        self._released_tasks.add(self._held_tasks[0])
         self.waiting[0].set_result(None)
 
     def release_all(self) -> None:
