--- a/balancer/sidecar/requests/__init__.py
+++ b/balancer/sidecar/requests/__init__.py
@@ -1,1 +1,1 @@
-"""Requests in flight: events to the policy, and what it decides carried out."""
+"""Requests in flight: events go to the policy, and the actions that it decides on are carried out."""
--- a/balancer/sidecar/requests/attempt_guard.py
+++ b/balancer/sidecar/requests/attempt_guard.py
@@ -6,31 +6,47 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable, Iterable
+import logging
+from collections.abc import Iterable
 from enum import StrEnum
 
-from balancer.policy_api import DeduplicationScope, Endpoint, EndpointId, Idempotency, Settings
-from balancer.sidecar.requests.ledger import EndpointGroup, InFlightRequest
-from balancer.sidecar.runtime.metrics import Invariant, Metrics
+from balancer.policy_api import Endpoint, EndpointId, Idempotency, RequestClass, Settings
+from balancer.sidecar.requests.in_flight_request import InFlightRequest
+from balancer.sidecar.requests.log_fields import NONE, format_endpoint_id
+from balancer.sidecar.requests.repeat_safety import EndpointGroup, is_repeat_harmless
+from balancer.sidecar.runtime.metrics import Invariant, Metric, Metrics
 from balancer.time_units import MILLISECOND_NS
 
-HELD_UP_NS = 150 * MILLISECOND_NS
-"""The process may be held up for this long between a decision and what carries it out."""
+MAX_EXECUTION_DELAY_NS = 150 * MILLISECOND_NS
+"""How much later than its decision an attempt may start before that counts as a fault: the process may be
+held up, so a repeat that was allowed when it was decided on may be too late when it starts."""
+
+log = logging.getLogger(__name__)
 
 
 class AttemptRefusal(StrEnum):
     """Why an attempt may not start."""
 
     ANSWERED = "answered"
+    """The request has its final answer."""
     IN_FLIGHT = "in_flight"
+    """Another attempt of the request has not ended."""
     EXPIRED = "expired"
+    """The time of the request is over."""
     ATTEMPTS_EXHAUSTED = "attempts_exhausted"
+    """The request had as many attempts as the settings allow."""
     REPEAT_FORBIDDEN = "repeat_forbidden"
+    """The request may have been executed, and the endpoint might execute it again."""
     CLIENT_LEFT = "client_left"
+    """Nobody waits for the answer, which no event has reported yet."""
 
 
 class AttemptGuard:
-    """Checks each attempt before it starts, and each rejection before it is sent."""
+    """Checks each attempt before it starts, and each rejection before it is sent.
+
+    `refusal` and `may_reject` are questions: they change nothing. What they forbid is recorded by
+    `record_refusal` and `record_unsafe_rejection`.
+    """
 
     def __init__(self, settings: Settings, metrics: Metrics) -> None:
         self._classes = settings.classes
@@ -38,8 +54,10 @@
         self._metrics = metrics
         self._groups: dict[EndpointId, EndpointGroup] = {}
 
+    # ---- endpoints
+
     def update_endpoints(self, endpoints: Iterable[Endpoint], is_snapshot: bool) -> None:
-        """Take an endpoint update: where the endpoints are."""
+        """Record the groups of the endpoints in an endpoint update."""
         if is_snapshot:
             self._groups.clear()
         self._groups.update(
@@ -50,77 +68,97 @@
         """Return the group of an endpoint, if it is listed."""
         return self._groups.get(endpoint_id)
 
+    # ---- attempts
+
     def refusal(
-        self,
-        request: InFlightRequest,
-        endpoint_id: EndpointId,
-        now_ns: int,
-        detect_disconnect: Callable[[InFlightRequest], None],
+        self, request: InFlightRequest, endpoint_id: EndpointId, now_ns: int
     ) -> AttemptRefusal | None:
-        """Return why an attempt may not start now, or None if it may.
-
-        Args:
-            request: the request.
-            endpoint_id: where the attempt would go.
-            now_ns: the time of the sidecar's clock.
-            detect_disconnect: marks the request as answered if its client has left; it is called last, as it
-                asks the socket.
-        """
+        """Return why an attempt at an endpoint may not start now, or None if it may."""
         if request.answered:
             return AttemptRefusal.ANSWERED
         if now_ns >= request.expires_at_ns:
             # The policy may not know it: timers are early at times, and a shutdown brings expiry forward.
             return AttemptRefusal.EXPIRED
         if request.attempt is not None or request.has_background_attempt:
-            self._metrics.record_violation(Invariant.ONE_ATTEMPT, f"request {request.request_id}")
             return AttemptRefusal.IN_FLIGHT
         if request.attempt_count >= self._max_attempts:
             return AttemptRefusal.ATTEMPTS_EXHAUSTED
         if not self._may_repeat(request, endpoint_id, now_ns):
             return AttemptRefusal.REPEAT_FORBIDDEN
-        detect_disconnect(request)
-        return AttemptRefusal.CLIENT_LEFT if request.answered else None
-
-    def may_reject(self, request: InFlightRequest) -> bool:
-        """Return whether a client's retry of this request does no harm; a violation is counted if it does."""
-        request_class = self._classes[request.client_request.class_index]
-        is_harmless = (
-            not request.may_have_run
-            or request_class.idempotency == Idempotency.IDEMPOTENT
-            or (
-                request_class.idempotency == Idempotency.IDEMPOTENCY_KEY
-                and request_class.deduplication_scope == DeduplicationScope.ALL
-            )
+        # The last question, as it asks the socket.
+        return AttemptRefusal.CLIENT_LEFT if request.is_abandoned() else None
+
+    def record_refusal(
+        self, refusal: AttemptRefusal, request: InFlightRequest, endpoint_id: EndpointId, now_ns: int
+    ) -> None:
+        """Count and log that an attempt was refused, which may be a violation of an invariant."""
+        self._metrics.count(Metric.ATTEMPTS_REFUSED, refusal)
+        log.debug(
+            "attempt_refused request=%d endpoint=%s reason=%s",
+            request.request_id,
+            format_endpoint_id(endpoint_id),
+            refusal,
         )
-        if not is_harmless:
-            self._metrics.record_violation(Invariant.REJECTION_HARMLESS, f"request {request.request_id}")
-        return is_harmless
+        if refusal is AttemptRefusal.IN_FLIGHT:
+            self._record_second_attempt(request, endpoint_id)
+        elif refusal is AttemptRefusal.REPEAT_FORBIDDEN:
+            self._record_forbidden_repeat(request, endpoint_id, now_ns)
 
     def _may_repeat(self, request: InFlightRequest, endpoint_id: EndpointId, now_ns: int) -> bool:
-        """Whether what may have been executed may be sent to this endpoint, too."""
-        request_class = self._classes[request.client_request.class_index]
-        if not request.may_have_run or request_class.idempotency == Idempotency.IDEMPOTENT:
+        """Return whether what may have been executed may be sent to this endpoint, too."""
+        if not request.may_have_run:
             return True
-        window_end_ns = request.executed_at_ns + request_class.deduplication_window_ns
-        is_dropped = request_class.idempotency == Idempotency.IDEMPOTENCY_KEY and self._drops_repeats(
-            request, endpoint_id, request_class.deduplication_scope
-        )
-        if not is_dropped or now_ns >= window_end_ns + HELD_UP_NS:
-            detail = (
-                f"request {request.request_id} of class {request_class.name}, endpoint {endpoint_id.hex()}, "
-                f"group {self._groups.get(endpoint_id)} after {request.executing_group}, "
-                f"{(now_ns - window_end_ns) / MILLISECOND_NS:+.1f} ms from the end of its window"
-            )
-            self._metrics.record_violation(Invariant.REPEAT_ALLOWED, detail)
-        return is_dropped and now_ns < window_end_ns
-
-    def _drops_repeats(
-        self, request: InFlightRequest, endpoint_id: EndpointId, scope: DeduplicationScope
-    ) -> bool:
-        """Whether this endpoint drops repeats of what was perhaps executed before."""
-        if scope == DeduplicationScope.ALL:
+        request_class = self._class_of(request)
+        if request_class.idempotency == Idempotency.IDEMPOTENT:
             return True
-        first, second = request.executing_group, self._groups.get(endpoint_id)
-        if first is None or second is None:
+        if now_ns >= _deduplication_end_ns(request, request_class):
             return False
-        return first.zone == second.zone and (scope == DeduplicationScope.ZONE or first.cell == second.cell)
+        return self._is_deduplicated(request, request_class, endpoint_id)
+
+    def _is_deduplicated(
+        self, request: InFlightRequest, request_class: RequestClass, endpoint_id: EndpointId
+    ) -> bool:
+        """Return whether this endpoint drops repeats of what the first one executed, within the window."""
+        return is_repeat_harmless(request_class, request.executing_group, self.group_of(endpoint_id))
+
+    def _record_second_attempt(self, request: InFlightRequest, endpoint_id: EndpointId) -> None:
+        detail = f"request={request.request_id} endpoint={format_endpoint_id(endpoint_id)}"
+        self._metrics.record_violation(Invariant.ONE_ATTEMPT, detail)
+
+    def _record_forbidden_repeat(
+        self, request: InFlightRequest, endpoint_id: EndpointId, now_ns: int
+    ) -> None:
+        """Count a violation, unless the repeat was only held up until just after its window."""
+        request_class = self._class_of(request)
+        window_end_ns = _deduplication_end_ns(request, request_class)
+        is_deduplicated = self._is_deduplicated(request, request_class, endpoint_id)
+        if is_deduplicated and now_ns < window_end_ns + MAX_EXECUTION_DELAY_NS:
+            return
+        detail = (
+            f"request={request.request_id} endpoint={format_endpoint_id(endpoint_id)} "
+            f"class={request_class.name} group={self.group_of(endpoint_id) or NONE} "
+            f"executing_group={request.executing_group or NONE} "
+            f"after_window_ms={(now_ns - window_end_ns) / MILLISECOND_NS:+.1f}"
+        )
+        self._metrics.record_violation(Invariant.REPEAT_ALLOWED, detail)
+
+    # ---- rejections
+
+    def may_reject(self, request: InFlightRequest) -> bool:
+        """Return whether a client's retry of this request, which may go to any endpoint, does no harm."""
+        if not request.may_have_run:
+            return True
+        return is_repeat_harmless(self._class_of(request), request.executing_group, None)
+
+    def record_unsafe_rejection(self, request: InFlightRequest) -> None:
+        """Count a rejection that `may_reject` forbids as a violation."""
+        detail = f"request={request.request_id} last_endpoint={format_endpoint_id(request.endpoint_id)}"
+        self._metrics.record_violation(Invariant.REJECTION_HARMLESS, detail)
+
+    def _class_of(self, request: InFlightRequest) -> RequestClass:
+        return self._classes[request.client_request.class_index]
+
+
+def _deduplication_end_ns(request: InFlightRequest, request_class: RequestClass) -> int:
+    """Return until when endpoints drop repeats of a request that may have been executed."""
+    return request.executed_at_ns + request_class.deduplication_window_ns
--- a/balancer/sidecar/requests/attempt_runner.py
+++ b/balancer/sidecar/requests/attempt_runner.py
@@ -2,62 +2,50 @@
 
 from __future__ import annotations
 
-import logging
+from collections.abc import Callable
 from functools import partial
-from typing import Protocol
 
 from balancer.policy_api import (
     AttemptCompleted,
     AttemptOutcome,
     CancelAttempt,
     EndpointId,
-    RequestClass,
-    Settings,
     StartAttempt,
 )
 from balancer.sidecar.http.message import HttpResponse
-from balancer.sidecar.requests.attempt_guard import AttemptGuard
-from balancer.sidecar.requests.ledger import InFlightRequest, RequestLedger
+from balancer.sidecar.requests.attempt_guard import AttemptGuard, AttemptRefusal
+from balancer.sidecar.requests.client_disconnects import ClientDisconnects
+from balancer.sidecar.requests.final_answers import FinalAnswers
+from balancer.sidecar.requests.in_flight_request import InFlightRequest
+from balancer.sidecar.requests.ledger import RequestLedger
+from balancer.sidecar.requests.log_fields import format_endpoint_id
+from balancer.sidecar.requests.ports import AttemptEvents
 from balancer.sidecar.runtime.metrics import Invariant, Metric, Metrics
 from balancer.sidecar.upstream.manager import UpstreamManager
 from balancer.time_units import SECOND_NS
 
-log = logging.getLogger(__name__)
-
-
-class AttemptOwner(Protocol):
-    """What the runner needs of the dispatcher."""
-
-    def now_ns(self) -> int:
-        """Return the time of the sidecar's clock."""
-
-    def dispatch(self, event: AttemptCompleted, /) -> None:
-        """Tell the policy how an attempt has ended."""
-
-    def detect_client_disconnect(self, request: InFlightRequest, /) -> None:
-        """Ask whether the client has left, and give the request up if it has."""
-
-    def has_pending_endpoint_update(self) -> bool:
-        """Whether the policy has yet to be told of an endpoint update that has come."""
-
 
 class AttemptRunner:
     """Carries out what the policy decides on attempts. A request has one attempt at a time."""
 
     def __init__(
         self,
-        settings: Settings,
-        owner: AttemptOwner,
+        now_ns: Callable[[], int],
         upstream: UpstreamManager,
         ledger: RequestLedger,
         guard: AttemptGuard,
+        answers: FinalAnswers,
+        disconnects: ClientDisconnects,
+        events: AttemptEvents,
         metrics: Metrics,
     ) -> None:
-        self._classes = settings.classes
-        self._owner = owner
+        self._now_ns = now_ns
         self._upstream = upstream
         self._ledger = ledger
         self._guard = guard
+        self._answers = answers
+        self._disconnects = disconnects
+        self._events = events
         self._metrics = metrics
 
     # ---- actions of the policy
@@ -65,7 +53,7 @@
     def start(self, action: StartAttempt) -> None:
         """Start an attempt, or report at once that it has not started."""
         request = self._ledger.in_flight.get(action.request_id)
-        now_ns = self._owner.now_ns()
+        now_ns = self._now_ns()
         if request is None or not self._may_start(request, action.endpoint_id, now_ns):
             self._report_not_started(action, request)
             return
@@ -106,24 +94,27 @@
         """
         if request.attempt is None:
             return
-        latest_end_ns = request.attempt_started_at_ns + self._class_of(request).latency_objective_ns
+        latency_objective_ns = self._ledger.class_of(request).latency_objective_ns
+        latest_end_ns = request.attempt_started_at_ns + latency_objective_ns
         request.has_background_attempt = True
         request.attempt.continue_in_background(
-            (latest_end_ns - self._owner.now_ns()) / SECOND_NS, partial(self._on_background_ended, request)
+            (latest_end_ns - self._now_ns()) / SECOND_NS, partial(self._on_background_ended, request)
         )
 
     def _on_background_ended(self, request: InFlightRequest) -> None:
         request.has_background_attempt = False
-        self._ledger.forget_if_finished(request, self._owner.now_ns())
+        self._ledger.forget_if_finished(request)
 
     # ---- the start of an attempt
 
     def _may_start(self, request: InFlightRequest, endpoint_id: EndpointId, now_ns: int) -> bool:
-        refusal = self._guard.refusal(request, endpoint_id, now_ns, self._owner.detect_client_disconnect)
+        """Return whether an attempt may start. If its client has left, the request is abandoned."""
+        refusal = self._guard.refusal(request, endpoint_id, now_ns)
         if refusal is None:
             return True
-        self._metrics.count(Metric.ATTEMPTS_REFUSED, refusal)
-        log.debug("attempt of request %d refused: %s", request.request_id, refusal)
+        if refusal is AttemptRefusal.CLIENT_LEFT:
+            self._disconnects.on_client_disconnected(request.request_id)
+        self._guard.record_refusal(refusal, request, endpoint_id, now_ns)
         return False
 
     def _record_start(self, request: InFlightRequest, action: StartAttempt, now_ns: int) -> None:
@@ -136,13 +127,13 @@
         request.attempt_group = self._guard.group_of(action.endpoint_id)
 
     def _check_policy_may_not_know(self, action: StartAttempt) -> None:
-        """Check that the policy was not told yet that the endpoint it chose takes nothing new."""
-        if not self._owner.has_pending_endpoint_update():
-            detail = f"request {action.request_id}, endpoint {action.endpoint_id.hex()}"
+        """Check that the policy has not seen yet that the endpoint it chose takes nothing new."""
+        if not self._events.has_pending_endpoint_update():
+            detail = f"request={action.request_id} endpoint={format_endpoint_id(action.endpoint_id)}"
             self._metrics.record_violation(Invariant.ENDPOINT_READY, detail)
 
     def _report_not_started(self, action: StartAttempt, request: InFlightRequest | None) -> None:
-        self._owner.dispatch(
+        self._events.dispatch(
             AttemptCompleted(
                 request_id=action.request_id,
                 attempt_index=request.attempt_count if request is not None else 0,
@@ -157,10 +148,11 @@
     def _build_payload(self, request: InFlightRequest) -> bytes:
         """Return the message of the current attempt, which is about to be written to its connection."""
         # The client may have left while the connection was established: the attempt ends before any byte.
-        self._owner.detect_client_disconnect(request)
+        if request.is_abandoned():
+            self._disconnects.on_client_disconnected(request.request_id)
         if request.answered and request.attempt is not None:
             request.attempt.abort(AttemptOutcome.NOT_SENT)
-        return request.encode(self._owner.now_ns())
+        return request.encode(self._now_ns())
 
     # ---- the end of an attempt
 
@@ -174,10 +166,10 @@
         request.record_outcome(outcome)
         self._metrics.count(Metric.ATTEMPTS, outcome.name.lower())
         if outcome == AttemptOutcome.SUCCESS and response is not None:
-            self._send_response(request, response)
-        now_ns = self._owner.now_ns()
-        self._ledger.forget_if_finished(request, now_ns)
-        self._owner.dispatch(
+            self._answers.serve(request, response)
+        now_ns = self._now_ns()
+        self._ledger.forget_if_finished(request)
+        self._events.dispatch(
             AttemptCompleted(
                 request_id=request.request_id,
                 attempt_index=attempt_index,
@@ -188,11 +180,3 @@
                 load_report=self._upstream.parse_load_report(response),
             )
         )
-
-    def _send_response(self, request: InFlightRequest, response: HttpResponse) -> None:
-        if self._ledger.mark_answered(request.request_id) is not None:
-            self._metrics.count(Metric.RESPONSES, "served")
-            request.response_sink.send_response(response)
-
-    def _class_of(self, request: InFlightRequest) -> RequestClass:
-        return self._classes[request.client_request.class_index]
--- a/balancer/sidecar/requests/client_request.py
+++ b/balancer/sidecar/requests/client_request.py
@@ -1,4 +1,4 @@
-"""A client's request on its way through the sidecar, and where its answer goes."""
+"""A client's request as the sidecar has received it, and the receiver of its answer."""
 
 from __future__ import annotations
 
@@ -8,19 +8,27 @@
 
 
 class ResponseSink(Protocol):
-    """Takes the final answer of one request. One of the first three methods is called, once."""
+    """Receives the final answer of one request: one of the first three methods is called, once."""
 
     def send_response(self, response: HttpResponse) -> None:
         """Pass on an endpoint's successful response."""
 
     def reject(self, retry_after_ns: int) -> None:
-        """Answer that the request was rejected and may be sent again, after this time (0: no advice)."""
+        """Answer that the request was rejected and may be sent again.
+
+        Args:
+            retry_after_ns: How long the client should wait before it does; 0 for no advice.
+        """
 
     def fail(self, timed_out: bool) -> None:
-        """Answer that the request failed, perhaps after it was executed; `timed_out`: by its time."""
+        """Answer that the request failed, perhaps after it was executed.
+
+        Args:
+            timed_out: Whether it failed as its time was over.
+        """
 
     def is_disconnected(self) -> bool:
-        """Whether the client has left, or has ended its side of the connection."""
+        """Return whether the client has left, or has closed its side of the connection."""
 
 
 class ClientRequest(NamedTuple):
--- /dev/null
+++ b/balancer/sidecar/requests/in_flight_request.py
@@ -0,0 +1,82 @@
+"""The state of one request that is in flight."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+from balancer.policy_api import OUTCOMES_NEVER_EXECUTED, AttemptOutcome, EndpointId
+from balancer.sidecar.requests.client_request import ClientRequest, ResponseSink
+from balancer.sidecar.requests.repeat_safety import EndpointGroup
+from balancer.sidecar.runtime.timers import OneShotTimer
+from balancer.sidecar.upstream.attempt import Attempt
+from balancer.time_units import SECOND_NS
+
+
+@dataclass(slots=True, eq=False)
+class InFlightRequest:
+    """A request that is owed its final answer or still has an attempt in flight."""
+
+    request_id: int
+    response_sink: ResponseSink
+    client_request: ClientRequest
+    expires_at_ns: int
+    """When the request fails if it is still unanswered; may be brought forward."""
+    deadline_timer: OneShotTimer
+    """Runs until the request expires."""
+    attempt_timer: OneShotTimer
+    """Runs until the current attempt times out, if that is before the request expires."""
+    answered: bool = False
+    """Whether the final answer was given, or the client left and is owed none."""
+    attempt: Attempt | None = None
+    """The current attempt."""
+    has_background_attempt: bool = False
+    """Whether an attempt goes on although the time of the request is over."""
+    attempt_count: int = 0
+    """How many attempts were started."""
+    attempt_started_at_ns: int = 0
+    """When the last attempt was started."""
+    attempt_deadline_ns: int = 0
+    """When the last attempt times out."""
+    endpoint_id: EndpointId = b""
+    """The endpoint of the last attempt."""
+    last_outcome: AttemptOutcome | None = None
+    """The outcome of the last attempt that ended."""
+    attempt_group: EndpointGroup | None = None
+    """The group of the endpoint of the last attempt, if it was listed."""
+    may_have_run: bool = False
+    """Whether any attempt so far may have been executed."""
+    executed_at_ns: int = 0
+    """When the first such attempt was started."""
+    executing_group: EndpointGroup | None = None
+    """The group of the endpoint of that attempt."""
+
+    @property
+    def is_finished(self) -> bool:
+        """Whether nothing is left to do: no answer is owed and no attempt is in flight."""
+        return self.answered and self.attempt is None and not self.has_background_attempt
+
+    def is_abandoned(self) -> bool:
+        """Return whether the client has left although it is owed an answer; this asks the client's socket.
+
+        Asked before an attempt is sent, as the event loop may not have reported the disconnect yet.
+        """
+        return not self.answered and self.response_sink.is_disconnected()
+
+    def record_outcome(self, outcome: AttemptOutcome) -> None:
+        """Record the outcome of the current attempt, which has ended."""
+        self.attempt = None
+        self.attempt_timer.cancel()
+        self.last_outcome = outcome
+        if outcome in OUTCOMES_NEVER_EXECUTED or self.may_have_run:
+            return
+        self.may_have_run = True
+        self.executed_at_ns = self.attempt_started_at_ns
+        self.executing_group = self.attempt_group
+
+    def encode(self, now_ns: int) -> bytes:
+        """Return the HTTP message of the current attempt, with the time that is left for it."""
+        # Shutdown may bring the expiry of the request forward after the attempt has started.
+        deadline_ns = min(self.attempt_deadline_ns, self.expires_at_ns)
+        seconds_left = max(0, deadline_ns - now_ns) / SECOND_NS
+        head, body = self.client_request.head, self.client_request.body
+        return b"%sReq-Deadline: %.3f\r\n\r\n%s" % (head, seconds_left, body)
--- /dev/null
+++ b/balancer/sidecar/requests/request_intake.py
@@ -0,0 +1,52 @@
+"""Takes valid requests from clients."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from balancer.policy_api import RequestReceived
+from balancer.sidecar.requests.client_request import ClientRequest, ResponseSink
+from balancer.sidecar.requests.event_queue import EventQueue
+from balancer.sidecar.requests.ledger import RequestLedger
+from balancer.sidecar.requests.request_deadlines import RequestDeadlines
+from balancer.sidecar.runtime.metrics import Metric, Metrics
+from balancer.time_units import SECOND_NS
+
+
+class RequestIntake:
+    """Enters each request into the ledger, starts its deadline and reports it to the policy."""
+
+    def __init__(
+        self,
+        now_ns: Callable[[], int],
+        ledger: RequestLedger,
+        deadlines: RequestDeadlines,
+        events: EventQueue,
+        metrics: Metrics,
+    ) -> None:
+        self._now_ns = now_ns
+        self._ledger = ledger
+        self._deadlines = deadlines
+        self._events = events
+        self._metrics = metrics
+
+    def submit(self, sink: ResponseSink, client_request: ClientRequest, waited_seconds: float) -> int:
+        """Take a request that arrived this long ago, and return its request id."""
+        now_ns = self._now_ns()
+        timeout_ns = client_request.timeout_ns - int(waited_seconds * SECOND_NS)
+        expires_at_ns = self._deadlines.expires_at_ns(timeout_ns, now_ns)
+        request = self._ledger.add(sink, client_request, expires_at_ns)
+        self._metrics.count(Metric.REQUESTS)
+        self._deadlines.start(request, now_ns)
+        self._events.dispatch(
+            RequestReceived(
+                request.request_id,
+                client_request.class_index,
+                client_request.tenant_index,
+                client_request.key_hash,
+                expires_at_ns,
+                client_request.work_hint_ns,
+                client_request.is_retry,
+            )
+        )
+        return request.request_id
--- a/balancer/sidecar/runtime/metrics.py
+++ b/balancer/sidecar/runtime/metrics.py
@@ -1,4 +1,4 @@
-"""Counters of one sidecar, and the run-time check of its invariants.
+"""Counters of one sidecar, and the record of violated invariants.
 
 The sidecar has no port for its operators: the counters are written to the log as one line of JSON, on SIGUSR1
 and, with the log level INFO, at the end of the process.
@@ -12,34 +12,36 @@
 from enum import StrEnum
 
 MAX_LOGGED_VIOLATIONS = 20
-"""Of each invariant; further ones are only counted."""
+"""How many violations of each invariant are logged: a fault must not fill the log. Others are counted."""
 
 log = logging.getLogger(__name__)
 
 
 class Metric(StrEnum):
-    """What is counted. Some are counted apart by a label."""
+    """The names of the counters. Some have a count for each value of a label."""
 
     REQUESTS = "requests"
+    """Valid requests of clients."""
     RESPONSES = "responses"
-    """By the answer: served, rejected or failed."""
+    """Final answers; labelled by the kind: served, rejected or failed."""
     CLIENTS_LEFT = "clients_left"
     """Clients that left before their answer."""
     ATTEMPTS = "attempts"
-    """By the outcome."""
+    """Attempts that have ended; labelled by the outcome."""
     ATTEMPTS_REFUSED = "attempts_refused"
-    """Attempts of the policy that were not started, by the reason."""
+    """Attempts of the policy that were not started; labelled by the reason."""
     ACCEPT_FAILURES = "accept_failures"
-    """By the error."""
+    """Failures to accept a client's connection; labelled by the error."""
     DOWNSTREAM_CONNECTIONS = "downstream_connections"
+    """Accepted connections of clients."""
     DOWNSTREAM_CLOSES = "downstream_closes"
-    """By the reason."""
+    """Connections of clients that the sidecar closed; labelled by the reason."""
     REQUESTS_REFUSED = "requests_refused"
-    """Requests that are not valid, by the status code."""
+    """Requests that are not valid; labelled by the status code."""
     ENDPOINT_UPDATES = "endpoint_updates"
-    """By their kind."""
+    """Endpoint lists and changes of them; labelled by the kind."""
     VIOLATIONS = "violations"
-    """By the invariant."""
+    """Violations of invariants; labelled by the invariant."""
 
 
 class Invariant(StrEnum):
@@ -54,30 +56,35 @@
     ONE_ATTEMPT = "one_attempt"
     """A request has one attempt in flight at most."""
     ENDPOINT_READY = "endpoint_ready"
-    """The policy sends nothing to an endpoint that it was told is draining or removed."""
+    """The policy starts no attempt at an endpoint that it knows to be draining or removed."""
     CLOSE_AFTER_ANSWERS = "close_after_answers"
     """A connection is closed once all that was requested on it is answered."""
 
 
 class Metrics:
-    """The counters; each part that counts is given them."""
+    """The counters, which all parts of a sidecar share."""
 
     def __init__(self) -> None:
         self._counts: Counter[tuple[Metric, str]] = Counter()
 
     def count(self, metric: Metric, label: str = "") -> None:
-        """Count one."""
+        """Add one to a counter."""
         self._counts[metric, label] += 1
 
     def value(self, metric: Metric, label: str = "") -> int:
-        """Return how many were counted."""
+        """Return the value of a counter."""
         return self._counts[metric, label]
 
     def record_violation(self, invariant: Invariant, detail: str) -> None:
-        """Count and log that an invariant does not hold."""
+        """Count and log that an invariant does not hold.
+
+        Args:
+            invariant: The invariant.
+            detail: What violates it, as fields of a log line: `key=value key=value`.
+        """
         self.count(Metric.VIOLATIONS, invariant)
         if self.value(Metric.VIOLATIONS, invariant) <= MAX_LOGGED_VIOLATIONS:
-            log.error("invariant violated: %s: %s", invariant, detail)
+            log.error("invariant_violated invariant=%s %s", invariant, detail)
 
     def to_json(self) -> str:
         """Return all counters as one line of JSON: a number, or an object of numbers by label."""
--- a/tests/sidecar/requests/test_attempt_guard.py
+++ b/tests/sidecar/requests/test_attempt_guard.py
@@ -17,9 +17,9 @@
     RequestClass,
     Settings,
 )
-from balancer.sidecar.requests.attempt_guard import HELD_UP_NS, AttemptGuard, AttemptRefusal
+from balancer.sidecar.requests.attempt_guard import MAX_EXECUTION_DELAY_NS, AttemptGuard, AttemptRefusal
 from balancer.sidecar.requests.client_request import ClientRequest, ResponseSink
-from balancer.sidecar.requests.ledger import InFlightRequest
+from balancer.sidecar.requests.in_flight_request import InFlightRequest
 from balancer.sidecar.runtime.metrics import Invariant, Metric, Metrics
 from balancer.sidecar.runtime.timers import OneShotTimer
 from balancer.sidecar.upstream.attempt import Attempt
@@ -53,8 +53,15 @@
 }
 
 
-def do_not_look(_request: InFlightRequest) -> None:
-    """The client has not left."""
+class StubSink:
+    """Answers only whether the client has left."""
+
+    def __init__(self) -> None:
+        self.client_left = False
+
+    def is_disconnected(self) -> bool:
+        """Return what the test has set."""
+        return self.client_left
 
 
 @dataclass(slots=True)
@@ -64,10 +71,21 @@
     guard: AttemptGuard
     metrics: Metrics
     request: InFlightRequest
+    sink: StubSink
 
     def refusal(self, endpoint_id: bytes = b"first", now_ns: int = 0) -> AttemptRefusal | None:
-        """Ask the guard whether an attempt may start."""
-        return self.guard.refusal(self.request, endpoint_id, now_ns, do_not_look)
+        """Ask the guard whether an attempt may start, and have a refusal recorded, as the runner does."""
+        refusal = self.guard.refusal(self.request, endpoint_id, now_ns)
+        if refusal is not None:
+            self.guard.record_refusal(refusal, self.request, endpoint_id, now_ns)
+        return refusal
+
+    def may_reject(self) -> bool:
+        """Ask the guard whether the request may be rejected, and have a forbidden rejection recorded."""
+        is_allowed = self.guard.may_reject(self.request)
+        if not is_allowed:
+            self.guard.record_unsafe_rejection(self.request)
+        return is_allowed
 
     def complete_attempt(self, outcome: AttemptOutcome) -> None:
         """Make and end an attempt at the first endpoint, at time 0."""
@@ -95,15 +113,16 @@
     client_request = ClientRequest(
         b"id", CLASS_NAMES.index(class_name), 0, 0, 9 * SECOND_NS, 0, False, b"", b""
     )
+    sink = StubSink()
     request = InFlightRequest(
         1,
-        cast(ResponseSink, None),
+        cast(ResponseSink, sink),
         client_request,
         9 * SECOND_NS,
         OneShotTimer(loop),
         OneShotTimer(loop),
     )
-    return Situation(guard, metrics, request)
+    return Situation(guard, metrics, request, sink)
 
 
 @async_test
@@ -134,11 +153,9 @@
 @async_test
 async def test_attempt_may_not_start_for_client_that_left() -> None:
     left = situation()
-
-    def notice(request: InFlightRequest) -> None:
-        request.answered = True
-
-    assert left.guard.refusal(left.request, b"first", 0, notice) == AttemptRefusal.CLIENT_LEFT
+    left.sink.client_left = True
+    assert left.refusal() == AttemptRefusal.CLIENT_LEFT
+    assert not left.request.answered  # the guard only asks; the runner abandons the request
 
 
 @pytest.mark.parametrize("outcome", list(AttemptOutcome))
@@ -155,7 +172,7 @@
     )
     assert (repeated.refusal() is None) == never_executed
     assert repeated.violations(Invariant.REPEAT_ALLOWED) == (not never_executed)
-    assert repeated.guard.may_reject(repeated.request) == never_executed
+    assert repeated.may_reject() == never_executed
 
 
 @pytest.mark.parametrize(
@@ -192,7 +209,7 @@
     assert repeated.refusal(now_ns=WINDOW_NS - 1) is None
     assert repeated.refusal(now_ns=WINDOW_NS) == AttemptRefusal.REPEAT_FORBIDDEN
     assert repeated.violations(Invariant.REPEAT_ALLOWED) == 0
-    assert repeated.refusal(now_ns=WINDOW_NS + HELD_UP_NS) == AttemptRefusal.REPEAT_FORBIDDEN
+    assert repeated.refusal(now_ns=WINDOW_NS + MAX_EXECUTION_DELAY_NS) == AttemptRefusal.REPEAT_FORBIDDEN
     assert repeated.violations(Invariant.REPEAT_ALLOWED) == 1
 
 
@@ -204,5 +221,5 @@
 async def test_rejection_after_possible_execution(class_name: str, is_harmless: bool) -> None:
     executed = situation(class_name)
     executed.complete_attempt(AttemptOutcome.SERVER_ERROR)
-    assert executed.guard.may_reject(executed.request) == is_harmless
+    assert executed.may_reject() == is_harmless
     assert executed.violations(Invariant.REJECTION_HARMLESS) == (not is_harmless)
--- a/tests/sidecar/requests/test_dispatcher.py
+++ b/tests/sidecar/requests/test_dispatcher.py
@@ -22,10 +22,12 @@
     TimerFired,
 )
 from balancer.sidecar.discovery.endpoint_list import derive_endpoint_id
+from balancer.sidecar.requests.ports import Policy
 from balancer.sidecar.runtime.metrics import Invariant, Metric
 from balancer.time_units import MILLISECOND_NS, SECOND_NS
 from tests.sidecar.harness import (
     ReceivedRequest,
+    Sidecar,
     answer_ok,
     async_test,
     change_classes,
@@ -38,6 +40,7 @@
     status_response,
     wait_until,
 )
+from tests.sidecar.runtime.clock_control import stop_clock
 
 
 @pytest.mark.parametrize(("class_name", "status_code"), [("read", 503), ("post", 504)])
@@ -60,10 +63,10 @@
     """Ten milliseconds of thirty would leave too little time for an answer."""
     async with run_endpoint(answer_ok) as endpoint, run_sidecar(endpoint.address) as sidecar:
         client = await sidecar.connect_client()
-        sidecar.dispatcher.now_ns = lambda: 77 * SECOND_NS
+        stop_clock(sidecar.dispatcher.clock)
         client.writer.write(request_bytes(deadline=deadline))
         received = await sidecar.wait_for_event(lambda event: isinstance(event, RequestReceived))
-        assert received.expires_at_ns == 77 * SECOND_NS + milliseconds_left * MILLISECOND_NS
+        assert received.expires_at_ns == sidecar.dispatcher.now_ns() + milliseconds_left * MILLISECOND_NS
 
 
 @async_test
@@ -123,9 +126,8 @@
         run_endpoint(never_answer) as second,
         run_sidecar(first.address, second.address, settings=settings) as sidecar,
     ):
-        started_at_ns = sidecar.dispatcher.now_ns()
         # For the policy the deadline never comes; for the event loop it does.
-        sidecar.dispatcher.now_ns = lambda: started_at_ns
+        stop_clock(sidecar.dispatcher.clock)
         client = await sidecar.connect_client()
         assert (await client.exchange(request_bytes(deadline="0.2"))).status == 503
         assert len(sidecar.dispatcher.upstream.background_attempts) == 1
@@ -228,6 +230,11 @@
 # ---- a policy that breaks the rules
 
 
+def replace_policy(sidecar: Sidecar, policy: Policy) -> None:
+    """Leave the decisions of a sidecar to another policy."""
+    sidecar.balancer = cast(Balancer, policy)
+
+
 class RecklessPolicy:
     """Sends each request to one endpoint, and does a forbidden thing with what may have been executed."""
 
@@ -259,7 +266,7 @@
 async def test_rejection_of_what_may_have_run_is_turned_into_failure_and_counted() -> None:
     async with run_endpoint(answer_error) as endpoint, run_sidecar(endpoint.address) as sidecar:
         policy = RecklessPolicy(derive_endpoint_id("s-0"), lambda request_id: RejectRequest(request_id, 0))
-        sidecar.balancer = cast(Balancer, policy)
+        replace_policy(sidecar, policy)
         client = await sidecar.connect_client()
         assert (await client.exchange(request_bytes("post"))).status == 502
         assert sidecar.dispatcher.metrics.value(Metric.VIOLATIONS, Invariant.REJECTION_HARMLESS) == 1
@@ -270,7 +277,7 @@
     async with run_endpoint(answer_error) as endpoint, run_sidecar(endpoint.address) as sidecar:
         endpoint_id = derive_endpoint_id("s-0")
         policy = RecklessPolicy(endpoint_id, lambda request_id: StartAttempt(request_id, endpoint_id, 0, 0))
-        sidecar.balancer = cast(Balancer, policy)
+        replace_policy(sidecar, policy)
         client = await sidecar.connect_client()
         assert (await client.exchange(request_bytes("post"))).status == 502
         assert len(endpoint.received_requests) == 1
@@ -289,7 +296,7 @@
                     return [unknown_action, StartAttempt(event.request_id, endpoint_id, 0, 0)]
                 return []
 
-        sidecar.balancer = cast(Balancer, FaultyPolicy())
+        replace_policy(sidecar, FaultyPolicy())
         client = await sidecar.connect_client()
         assert (await client.exchange(request_bytes())).status == 200
 
@@ -309,7 +316,7 @@
     ):
         endpoint_id = derive_endpoint_id("s-0")
         policy = RecklessPolicy(endpoint_id, lambda request_id: StartAttempt(request_id, endpoint_id, 0, 0))
-        sidecar.balancer = cast(Balancer, policy)
+        replace_policy(sidecar, policy)
         client = await sidecar.connect_client()
         raw = request_bytes("post", extra_headers=b"Idempotency-Key: 7\r\n")
         assert (await client.exchange(raw)).status == 200
--- a/tests/sidecar/requests/test_ledger.py
+++ b/tests/sidecar/requests/test_ledger.py
@@ -21,6 +21,7 @@
     unreachable_address,
     wait_until,
 )
+from tests.sidecar.runtime.clock_control import advance_clock, stop_clock
 from tests.sidecar.upstream.harness import ConnectGate
 
 
@@ -36,8 +37,7 @@
         status_code, _, _ = await second_client.exchange(request_bytes(class_name, request_id="9b1f"))
         # An idempotent request may be sent again.
         assert status_code == (409 if class_name == "post" else 200)
-        now_ns = sidecar.dispatcher.now_ns
-        sidecar.dispatcher.now_ns = lambda: now_ns() + 9 * SECOND_NS  # the client has given up by then
+        advance_clock(sidecar.dispatcher.clock, 9 * SECOND_NS)  # the client has given up by then
         last_client = await sidecar.connect_client()
         assert (await last_client.exchange(request_bytes("post", request_id="77"))).status == 200
         assert list(sidecar.dispatcher.ledger.executed_ids_expire_at_ns) == [b"77"]
@@ -72,13 +72,11 @@
     ):
         gate = ConnectGate(sidecar)
         gate.opened.set()
-        now_ns = sidecar.dispatcher.now_ns()
-        sidecar.dispatcher.now_ns = lambda: now_ns
-        sidecar.dispatcher.upstream.now_ns = lambda: now_ns
+        stop_clock(sidecar.dispatcher.clock)
         client = await sidecar.connect_client()
         client.writer.write(request_bytes("post"))
         await wait_until(lambda: gate.connect_count >= 2)
-        now_ns += waited_seconds * SECOND_NS
+        advance_clock(sidecar.dispatcher.clock, waited_seconds * SECOND_NS)
         gate.opened.set()
         retry = await sidecar.wait_for_event(
             lambda event: is_attempt_completed(event) and event.attempt_index == 1
@@ -101,8 +99,7 @@
     """Told the client's time, an endpoint would work on for a sidecar that has ended."""
     async with run_endpoint(answer_ok) as endpoint, run_sidecar(endpoint.address) as sidecar:
         gate = ConnectGate(sidecar)
-        now_ns = sidecar.dispatcher.now_ns()
-        sidecar.dispatcher.now_ns = lambda: now_ns
+        stop_clock(sidecar.dispatcher.clock)
         client = await sidecar.connect_client()
         client.writer.write(request_bytes("post"))
         await gate.reached.wait()
--- a/tests/sidecar/runtime/test_metrics.py
+++ b/tests/sidecar/runtime/test_metrics.py
@@ -24,7 +24,7 @@
     metrics = Metrics()
     with caplog.at_level(logging.ERROR):
         for _ in range(MAX_LOGGED_VIOLATIONS + 5):
-            metrics.record_violation(Invariant.ONE_ATTEMPT, "request 7")
+            metrics.record_violation(Invariant.ONE_ATTEMPT, "request=7")
     assert metrics.value(Metric.VIOLATIONS, Invariant.ONE_ATTEMPT) == MAX_LOGGED_VIOLATIONS + 5
     assert len(caplog.records) == MAX_LOGGED_VIOLATIONS
-    assert caplog.records[0].getMessage() == "invariant violated: one_attempt: request 7"
+    assert caplog.records[0].getMessage() == "invariant_violated invariant=one_attempt request=7"
