--- a/balancer/sidecar/configuration.py
+++ b/balancer/sidecar/configuration.py
@@ -3,8 +3,6 @@
 from __future__ import annotations
 
 import json
-import math
-import resource
 from collections.abc import Mapping
 from dataclasses import dataclass, replace
 
@@ -20,28 +18,24 @@
     parse_endpoint_list,
 )
 from balancer.sidecar.runtime.address import Address, parse_address
+from balancer.sidecar.runtime.resource_limits import ResourceLimits, resource_limits
 from balancer.time_units import SECOND_NS
 
-MAX_DESCRIPTORS = 1024
-"""The least that a deployment allows, so no sidecar counts on more."""
-
-RESERVED_DESCRIPTORS = 28
-"""For the process itself, and for discovery, which for a moment has two connections."""
-
-DEFAULT_MEMORY_MEBIBYTES = 64
-BYTES_PER_MEBIBYTE = 1024 * 1024
 DEFAULT_CONNECT_TIMEOUT_NS = SECOND_NS // 4
+"""How long a connection to an endpoint may take to come up, where the settings do not say."""
+
 DEFAULT_IDLE_TIMEOUT_NS = 15 * SECOND_NS
+"""After how long endpoints close idle connections, where the settings do not say."""
 
 _ENVIRONMENT_KEYS = ("name", "listen", "discovery")
-"""Keys that PROXY_NAME and so on stand in for where the file leaves them out."""
+"""Keys that may be absent from the file; then PROXY_NAME, PROXY_LISTEN and PROXY_DISCOVERY are read."""
 
 
 class UnreadableConfigurationError(ConfigurationError):
-    """The file could not be read, which says nothing of what is in it.
+    """The file could not be read; whether its contents are valid is not known.
 
     Attributes:
-        error_number: The errno.
+        error_number: The errno of the failure; None if there is none.
     """
 
     def __init__(self, path: str, error: OSError) -> None:
@@ -54,22 +48,33 @@
     """What a sidecar is configured with."""
 
     name: str
+    """The name of the sidecar; empty if it has none."""
     listen_address: Address
+    """The address at which clients connect."""
     discovery_address: Address
+    """The address of discovery at the start; a reload may change it."""
     seed: int
+    """The seed of all random choices."""
     max_downstream_connections: int
     """Connections of clients; with those to endpoints they share the descriptors of the process."""
     max_upstream_connections: int
+    """Connections to endpoints."""
     memory_limit_bytes: int
+    """The memory that the process may take."""
     gossip_listen_address: Address | None
+    """The address for messages of other sidecars; None if there are none."""
     gossip_addresses: tuple[Address, ...]
-    """Of all sidecars, by their number."""
+    """The gossip addresses of all sidecars, by their index."""
     gossip_broadcast_address: Address | None
+    """The address that reaches all other sidecars at once."""
     settings: Settings
+    """The settings of the policy."""
     name_indices: NameIndices
+    """The positions of the names in endpoint lists."""
     load_reports_enabled: bool
     """Whether endpoints report their load."""
     connect_timeout_ns: int
+    """How long a connection to an endpoint may take to come up."""
     connection_idle_timeout_ns: int
     """Endpoints close connections that were idle this long."""
     known_endpoints: EndpointListUpdate
@@ -112,20 +117,19 @@
     settings = read_settings(settings_fields)
     limits = settings_fields.read_object("Limits")
     names = _read_name_indices(settings_fields)
-    descriptors = _read_max_descriptors(top)
-    max_downstream_connections = _max_downstream_connections(descriptors)
+    resources = _read_resource_limits(top)
     return SidecarConfiguration(
         name=str(top.get("name") or ""),
         listen_address=_read_address(top, "listen"),
         discovery_address=_read_address(top, "discovery"),
         seed=_read_seed(top),
-        max_downstream_connections=max_downstream_connections,
-        max_upstream_connections=_max_upstream_connections(descriptors, max_downstream_connections),
-        memory_limit_bytes=_read_memory_limit_bytes(top),
+        max_downstream_connections=resources.max_downstream_connections,
+        max_upstream_connections=resources.max_upstream_connections,
+        memory_limit_bytes=resources.memory_limit_bytes,
         gossip_listen_address=_read_optional_address(top, "peer_listen"),
         gossip_addresses=_read_addresses(top, "peers"),
         gossip_broadcast_address=_read_optional_address(top, "peers_all"),
-        # Those of the simulator's connections may carry more; HTTP/1.1 carries one request at a time.
+        # The simulator's connections may carry more; HTTP/1.1 carries one request at a time.
         settings=replace(settings, streams_per_connection=1),
         name_indices=names,
         load_reports_enabled=bool(settings.load_report_fields),
@@ -209,44 +213,9 @@
     raise ConfigurationError("seed", f"is {seed!r}", seed)
 
 
-def _read_max_descriptors(top: JsonObject) -> int:
-    """Return how many descriptors this process may have open."""
-    configured = _resource_limit(top, "sockets")
-    limit = configured if isinstance(configured, int) and configured > 0 else MAX_DESCRIPTORS
-    soft_limit, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
-    if soft_limit != resource.RLIM_INFINITY:
-        limit = min(limit, soft_limit)
-    return min(limit, MAX_DESCRIPTORS)
-
-
-def _read_memory_limit_bytes(top: JsonObject) -> int:
-    configured = _resource_limit(top, "memory_mb")
-    mebibytes = DEFAULT_MEMORY_MEBIBYTES
-    if isinstance(configured, int | float) and 1 <= configured < math.inf:
-        mebibytes = int(configured)
-    return mebibytes * BYTES_PER_MEBIBYTE
-
-
-def _resource_limit(top: JsonObject, key: str) -> object:
-    """Return a limit of the process; an invalid one counts as absent, as the defaults are safe."""
+def _read_resource_limits(top: JsonObject) -> ResourceLimits:
+    """Return the limits of the process; invalid ones count as absent, as the defaults are safe."""
     limits = top.get("limits")
-    return limits.get(key) if is_object(limits) else None
-
-
-def _max_downstream_connections(descriptors: int) -> int:
-    """Return how many connections of clients may be open.
-
-    Those with a request under way take a third of the descriptors; the rest of this share is for those that
-    are idle or silent.
-    """
-    return max(1, descriptors * 3 // 8)
-
-
-def _max_upstream_connections(descriptors: int, max_downstream_connections: int) -> int:
-    """Return how many connections to endpoints may be open.
-
-    They get the most, as one that has to make room soon costs a handshake. What is left over is for the
-    reserve, for gossip, and for connections that are just closing or refused.
-    """
-    just_closing = descriptors // 32
-    return max(1, descriptors - max_downstream_connections - RESERVED_DESCRIPTORS - just_closing)
+    if not is_object(limits):
+        limits = {}
+    return resource_limits(limits.get("sockets"), limits.get("memory_mb"))
--- a/balancer/sidecar/discovery/call.py
+++ b/balancer/sidecar/discovery/call.py
@@ -20,7 +20,10 @@
 from balancer.sidecar.runtime.address import Address
 
 MAX_LIST_BYTES = 4 * 1024 * 1024
+"""The longest response that is accepted; it is held in memory as a whole."""
+
 LIST_PATH = "/discovery/hosts"
+"""The path of the endpoint list at discovery."""
 
 
 class DiscoveryCallError(DiscoveryError):
@@ -37,8 +40,7 @@
         self.problem = problem
 
     def __str__(self) -> str:
-        host, port = self.address
-        return f"call to discovery at {host}:{port} failed: {self.problem}"
+        return f"call to discovery at {self.address} failed: {self.problem}"
 
 
 class DiscoveryTimeoutError(DiscoveryCallError):
@@ -97,7 +99,7 @@
             self._idle_connection = None
 
     async def fetch_snapshot(self, timeout_seconds: float) -> EndpointListUpdate:
-        """Return the whole list. Raises DiscoveryCallError, at the latest after the timeout."""
+        """Return the complete list. Raises DiscoveryCallError, at the latest after the timeout."""
         return await self._call("", timeout_seconds)
 
     async def watch(self, version: int, hold_seconds: float, timeout_seconds: float) -> EndpointListUpdate:
@@ -110,7 +112,7 @@
     async def _call(self, query: str, timeout_seconds: float) -> EndpointListUpdate:
         """Make one call on a connection that is its own until it is over.
 
-        The whole answer, however slowly it comes, has to be there within the timeout.
+        The complete response, however slowly it comes, has to be there within the timeout.
         """
         connection = self._acquire_connection()
         try:
@@ -134,7 +136,7 @@
     async def _request(
         self, connection: OutboundConnection, query: str, timeout_seconds: float
     ) -> HttpResponse:
-        """Return a whole response of status 200."""
+        """Return a complete response of status 200. Raises DiscoveryCallError."""
         try:
             async with asyncio.timeout(timeout_seconds):
                 response = await self._exchange(connection, query)
@@ -144,13 +146,13 @@
         if response is None:
             started = connection.response_started
             error_class = MalformedDiscoveryResponseError if started else DiscoveryCallError
-            raise error_class(self._address, "no whole response")
+            raise error_class(self._address, "no complete response")
         if response.status != HTTPStatus.OK:
             raise DiscoveryCallError(self._address, f"status {response.status}")
         return response
 
     async def _exchange(self, connection: OutboundConnection, query: str) -> HttpResponse | None:
-        """Send a request and return its response, or None if the connection broke."""
+        """Send a request and return its response, or None if the connection broke. Raises OSError."""
         host, port = self._address
         if not connection.is_established:
             async with asyncio.timeout(self.connect_timeout_seconds):
@@ -170,6 +172,6 @@
 
 
 def _set_result_once(future: asyncio.Future[HttpResponse | None], response: HttpResponse | None) -> None:
-    """Set the result unless the call was given up meanwhile."""
+    """Set the result unless the call was cancelled meanwhile."""
     if not future.done():
         future.set_result(response)
--- a/balancer/sidecar/discovery/client.py
+++ b/balancer/sidecar/discovery/client.py
@@ -1,4 +1,4 @@
-"""Keeps the endpoint list up to date: watches discovery and fetches snapshots, as the decisions ask for."""
+"""Keeps the endpoint list up to date by watches and snapshots, as the policy asks for them."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 from balancer.sidecar.runtime.address import Address
 
 FAULT_PAUSE_SECONDS = 0.25
-"""After an update that could not be taken, by a fault of this program."""
+"""The pause after an update that a fault of this program kept from being applied: the next may fail, too."""
 
 log = logging.getLogger(__name__)
 
@@ -31,27 +31,32 @@
     """What a discovery client is configured with."""
 
     address: Address
+    """The address of discovery at the start."""
     settings: Settings
+    """The settings of the instance."""
     name_indices: NameIndices
+    """The positions of the names in endpoint lists."""
     seed: int
+    """The seed of the random parts of holds and pauses."""
     known_version: int
     """The version of the endpoint list that the sidecar starts with."""
 
 
 class EndpointListObserver(Protocol):
-    """Is notified of what the calls to discovery brought."""
+    """Is notified of the results of the calls to discovery."""
 
     def on_endpoint_update(self, update: EndpointListUpdate, kind: EndpointUpdateKind, /) -> None:
         """Apply a new endpoint list or a change of it."""
 
     def on_discovery_failed(self) -> None:
-        """Take note that a call to discovery failed."""
+        """Handle the failure of a call to discovery."""
 
 
 class DiscoveryClient:
     """Keeps the endpoint list up to date and notifies an observer of each change.
 
-    It owns the tasks of its calls: `stop` cancels and awaits them.
+    It owns the tasks of its calls: `stop` cancels and awaits them. At most one watch and one fetch of a
+    snapshot are under way.
     """
 
     def __init__(
@@ -75,7 +80,7 @@
         self._is_stopped = False
 
     def start(self) -> None:
-        """Begin to watch, unless that is left to the decisions."""
+        """Begin to watch, unless that is left to the policy."""
         if self.profile.watches_unasked:
             self.set_watching(True)
 
@@ -88,7 +93,7 @@
         self.caller.close()
 
     def change_address(self, address: Address) -> None:
-        """Leave the old address for a new one. The list in hand stays until the new one has sent its own."""
+        """Call a new address from now on. The present list stays until the new address has sent its own."""
         if address == self.caller.address:
             return
         was_calling = _is_running(self._watch_task) or _is_running(self._fetch_task)
@@ -107,7 +112,7 @@
             self._watch_task = self._start_task(self._watch())
 
     def fetch_snapshot(self) -> None:
-        """Fetch the whole list once, unless that is under way."""
+        """Fetch the complete list once, unless that is under way."""
         if not _is_running(self._fetch_task) and not self._is_stopped:
             self._fetch_task = self._start_task(self._fetch())
 
@@ -140,11 +145,13 @@
                 _log_failure(error)
                 pause_seconds = retry_policy.pause_seconds_after(error, self._needs_snapshot)
                 if pause_seconds is None:
-                    self._watch_task = None  # so that the decisions can begin another at once
+                    self._watch_task = None  # so that the policy can begin another at once
                     self._report_failure()
                     return
-            except Exception:
-                log.exception("an endpoint update could not be taken; a snapshot is fetched instead")
+            except Exception as error:
+                log.exception(
+                    "endpoint_update_failed version=%d error=%s", self._version, type(error).__name__
+                )
                 self._needs_snapshot = True
                 pause_seconds = FAULT_PAUSE_SECONDS
             else:
@@ -159,14 +166,14 @@
         except DiscoveryCallError as error:
             _log_failure(error)
             self._report_failure()
-        except Exception:
-            log.exception("an endpoint update could not be taken")
+        except Exception as error:
+            log.exception("endpoint_update_failed version=%d error=%s", self._version, type(error).__name__)
             self._report_failure()
 
-    # ---- calls and their answers
+    # ---- calls and their results
 
     async def _call_for_changes(self) -> EndpointListUpdate:
-        """Return the changes since the list in hand, or the snapshot of a new address."""
+        """Return the changes since the present list, or the snapshot of a new address."""
         profile = self.profile
         if not self._needs_snapshot:
             hold_seconds = profile.hold_seconds * (1 - profile.hold_jitter * self._random.random())
@@ -199,4 +206,9 @@
 
 
 def _log_failure(error: DiscoveryCallError) -> None:
-    log.debug("discovery call failed: %s: %s", type(error).__name__, error)
+    log.debug(
+        'discovery_call_failed discovery=%s error=%s detail="%s"',
+        error.address,
+        type(error).__name__,
+        error.problem,
+    )
--- a/balancer/sidecar/discovery/endpoint_list.py
+++ b/balancer/sidecar/discovery/endpoint_list.py
@@ -22,10 +22,13 @@
 Number = TypeVar("Number", int, float)
 
 ENDPOINT_ID_BYTES = 8
-"""The decisions hash the first 64 bits of an id: a longer one would lose its last bytes."""
+"""The policy hashes the first 64 bits of an id: a longer one would lose its last bytes."""
 
-NO_ADDRESS: Address = ("", 0)
-"""Of an endpoint that gets no new connections."""
+NO_ADDRESS = Address("", 0)
+"""The address of an endpoint that gets no new connections."""
+
+MAX_LOGGED_CHARACTERS = 200
+"""How much of the description of an invalid entry is logged: its values may have any length."""
 
 _DEPARTING_HEALTH_BY_NAME = {
     "draining": EndpointHealth.DRAINING,
@@ -55,7 +58,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DiscoveredEndpoint:
-    """An entry of an endpoint list: what the decisions see of it, and where it listens."""
+    """An entry of an endpoint list: what the policy sees of it, and the address at which it listens."""
 
     endpoint: Endpoint
     address: Address
@@ -63,7 +66,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointListUpdate:
-    """A whole endpoint list, or the entries that changed since an earlier version."""
+    """A complete endpoint list, or the entries that changed since an earlier version."""
 
     version: int
     is_snapshot: bool
@@ -96,7 +99,7 @@
 
 
 def derive_endpoint_id(host: str) -> EndpointId:
-    """Return the id by which the decisions know a host.
+    """Return the id by which the policy knows a host.
 
     Raises InvalidEndpointEntryError if the host is not text that can be encoded.
     """
@@ -117,7 +120,12 @@
             if departing is not None:
                 yield departing
             else:
-                log.warning("endpoint list entry skipped: %s: %.200s", type(error).__name__, error)
+                log.warning(
+                    'endpoint_list_entry_skipped error=%s detail="%.*s"',
+                    type(error).__name__,
+                    MAX_LOGGED_CHARACTERS,
+                    error,
+                )
 
 
 def _parse_entry(entry: object, names: NameIndices) -> DiscoveredEndpoint:
--- a/balancer/sidecar/discovery/retry.py
+++ b/balancer/sidecar/discovery/retry.py
@@ -29,7 +29,7 @@
         self._random = random
 
     def next_pause_seconds(self) -> float:
-        """Return the pause that is due now."""
+        """Return the pause before the next attempt, and lengthen the one after it."""
         pause_seconds = self._pause_seconds * (1 - self._jitter * self._random.random())
         self._pause_seconds = min(self._max_seconds, 2 * self._pause_seconds)
         return pause_seconds
@@ -39,9 +39,9 @@
     """Decides for one run of watches whether, and after which pause, a failed call is repeated.
 
     A client that watches unasked repeats every call. So does any client until a new address has sent its
-    snapshot. Otherwise the decisions call again later, to spare discovery, except where a change may have
-    been missed that already counts as known: after a timeout, and after a malformed response. The latter is
-    repeated only once, as there is no pause.
+    snapshot. Otherwise the policy starts the next call later, to spare discovery, except where a change may
+    have been missed that already counts as known: after a timeout, and after a malformed response. The latter
+    is repeated only once, as there is no pause.
     """
 
     def __init__(self, profile: DiscoveryProfile, random: Random) -> None:
@@ -52,7 +52,7 @@
         self._last_was_malformed = False
 
     def record_success(self) -> None:
-        """Note that a call succeeded."""
+        """Record that a call succeeded."""
         self._last_was_malformed = False
 
     def pause_seconds_after(self, error: DiscoveryCallError, needs_snapshot: bool) -> float | None:
--- a/balancer/sidecar/discovery/start_times.py
+++ b/balancer/sidecar/discovery/start_times.py
@@ -1,7 +1,7 @@
 """Start times of endpoints, translated from the wall clock to the sidecar's clock, which is never stepped.
 
 Discovery gives the start of an endpoint as wall clock time. The wall clock may be stepped, by seconds or an
-hour, before or after that start; the age of an endpoint, which slow start goes by, is real time.
+hour, before or after that start; slow start needs the real age of an endpoint.
 """
 
 from __future__ import annotations
@@ -15,32 +15,34 @@
 from balancer.time_units import MILLISECOND_NS, SECOND_NS
 
 MIN_STEP_NS = 50 * MILLISECOND_NS
-"""A change of the wall clock against the sidecar's that counts as a step; two readings differ by less."""
+"""The smallest change of the wall clock against the sidecar's that counts as a step; two readings of one
+offset differ by less."""
 
 MAX_OFFSETS = 8
-"""How many offsets are remembered: a start time may be of any of them."""
+"""How many offsets are remembered: a start time may have been taken by any of them."""
 
 START_TOLERANCE_NS = SECOND_NS
-"""A start this far in the future is one of this moment; beyond, it is of another offset."""
+"""A start at most this far in the future counts as one of this moment; a later one was taken by another
+offset."""
 
 
 class _KnownStart(NamedTuple):
-    """What was made of a start time, to be kept while the entry is the same."""
+    """A start time as it was first translated, which is kept while the entry of the endpoint is the same."""
 
     wall_time_ns: int
     started_at_ns: int
 
 
 class StartTimeTranslator:
-    """Translates the start times of endpoint lists as they come.
+    """Translates the start times of endpoint lists as these arrive.
 
-    A start time does not tell by which offset of the wall clock it was taken: that before or after a step. Of
-    all offsets seen so far, the one that makes the endpoint youngest counts. Taken for younger than it is, an
-    endpoint warms up for longer; taken for older, it gets more than it can do.
+    A start time does not show by which offset of the wall clock it was taken: that before or after a step. Of
+    all offsets seen so far, the one that makes the endpoint youngest counts. An endpoint that is taken for
+    younger than it is warms up for longer; one that is taken for older gets more than it can do.
 
     Args:
-        now_ns: the sidecar's clock, in nanoseconds.
-        wall_time_ns: the wall clock, in nanoseconds since the Unix epoch.
+        now_ns: The sidecar's clock, in nanoseconds.
+        wall_time_ns: The wall clock, in nanoseconds since the Unix epoch.
     """
 
     def __init__(self, now_ns: Callable[[], int], wall_time_ns: Callable[[], int] | None = None) -> None:
@@ -51,7 +53,7 @@
         self.observe_wall_clock()
 
     def observe_wall_clock(self) -> None:
-        """Remember the present offset of the wall clock, if it is not known yet."""
+        """Remember the present offset of the wall clock, unless it is one of those seen so far."""
         offset_ns = self._wall_time_ns() - self._now_ns()
         if all(abs(offset_ns - known_ns) >= MIN_STEP_NS for known_ns in self._offsets_ns):
             self._offsets_ns.append(offset_ns)
--- a/balancer/sidecar/gossip_transport.py
+++ b/balancer/sidecar/gossip_transport.py
@@ -1,4 +1,4 @@
-"""Messages between sidecars: UDP datagrams, which may be late, lost or repeated."""
+"""Gossip between sidecars: messages in UDP datagrams, which may be late, lost or repeated."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 from balancer.sidecar.runtime.address import Address
 
 MAX_GOSSIP_BYTES = 256
-"""The longest payload of a message; a longer one is dropped."""
+"""The longest payload of a message in bytes; a longer one is dropped, sent or received."""
 
 
 class GossipTransport(asyncio.DatagramProtocol):
-    """Sends messages to the sidecars of the configuration, and takes messages from these only."""
+    """Sends messages to the configured sidecars, and accepts messages from these only."""
 
     def __init__(self, config: SidecarConfiguration, dispatcher: Dispatcher) -> None:
         self._dispatcher = dispatcher
@@ -31,7 +31,7 @@
         self._dispatcher.attach_gossip(self)
 
     def send(self, recipient_index: int, payload: bytes) -> None:
-        """Send a message to the sidecar with this number, or to all of them if it is negative."""
+        """Send a message to the sidecar with this index, or to all of them if it is negative."""
         address = self._address_of(recipient_index)
         if self._transport is not None and address is not None and len(payload) <= MAX_GOSSIP_BYTES:
             self._transport.sendto(payload, address)
@@ -44,8 +44,8 @@
         return None
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        """Pass on a message of another sidecar; anything else is dropped."""
-        sender_index = self._index_by_address.get((addr[0], addr[1]))
+        """Pass a message of another sidecar on to the policy; anything else is dropped."""
+        sender_index = self._index_by_address.get(Address(addr[0], addr[1]))
         if sender_index is not None and len(data) <= MAX_GOSSIP_BYTES:
             self._dispatcher.dispatch(GossipReceived(sender_index, data))
 
--- a/balancer/sidecar/runtime/__init__.py
+++ b/balancer/sidecar/runtime/__init__.py
@@ -1,1 +1,1 @@
-"""What every part of the process rests on: clock, timers, metrics, sockets and addresses."""
+"""What all parts of the process use: clock, timers, metrics, sockets, addresses and resource limits."""
--- a/balancer/sidecar/runtime/sockets.py
+++ b/balancer/sidecar/runtime/sockets.py
@@ -7,7 +7,7 @@
 import socket
 
 RESOURCE_SHORTAGE_ERRNOS = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM))
-"""The process or the machine is short of something for the moment (socket(2), accept(2), open(2))."""
+"""The process or the machine lacks a resource for the moment (socket(2), accept(2), open(2))."""
 
 
 def shut_down_socket(file_descriptor: int, how: int) -> None:
--- a/balancer/sidecar/runtime/timers.py
+++ b/balancer/sidecar/runtime/timers.py
@@ -21,13 +21,13 @@
         return self._handle is not None
 
     def start(self, delay_seconds: float, callback: Callable[[], None]) -> None:
-        """Call back once after this delay. A timer that is running is replaced."""
+        """Call back once after this delay; a callback that is still to come is cancelled."""
         if self._handle is not None:
             self._handle.cancel()
         self._handle = self._loop.call_later(delay_seconds, self._fire, callback)
 
     def cancel(self) -> None:
-        """Drop the callback, if one is still to come."""
+        """Cancel the callback, if one is still to come."""
         if self._handle is not None:
             self._handle.cancel()
             self._handle = None
--- a/tests/sidecar/discovery/scripted_discovery.py
+++ b/tests/sidecar/discovery/scripted_discovery.py
@@ -15,6 +15,7 @@
 from balancer.policy_api import EndpointHealth, EndpointUpdate, EndpointUpdateKind, Event
 from balancer.sidecar.discovery.call import DiscoveryCaller, DiscoveryCallError
 from balancer.sidecar.discovery.endpoint_list import EndpointListUpdate
+from balancer.sidecar.runtime.address import Address
 from tests.sidecar.harness import SETTINGS, TEST_TIMEOUT_SECONDS, endpoint_entry, ok_response
 
 AnswerScript: TypeAlias = Callable[[asyncio.StreamWriter], Awaitable[None]]
@@ -58,8 +59,8 @@
     def __init__(self, script: AnswerScript | None) -> None:
         self.socket = socket.socket()
         self.socket.bind(("127.0.0.1", 0))
-        self.address: tuple[str, int] = self.socket.getsockname()
-        self.dial = "{}:{}".format(*self.address)
+        self.address = Address(*self.socket.getsockname())
+        self.dial = str(self.address)
         self.request_lines: list[bytes] = []
         self.request_received = asyncio.Event()
         self.connections = 0
--- a/tests/sidecar/discovery/test_call.py
+++ b/tests/sidecar/discovery/test_call.py
@@ -13,6 +13,7 @@
 from balancer.sidecar.discovery import profile as discovery_profile
 from balancer.sidecar.discovery.call import DiscoveryCaller, DiscoveryCallError
 from balancer.sidecar.discovery.endpoint_list import NameIndices
+from balancer.sidecar.runtime.address import Address
 from tests.sidecar.discovery.scripted_discovery import (
     DRAIN_UPDATE,
     CallRecorder,
@@ -91,7 +92,7 @@
         dial = unreachable_address()
         host, _, port = dial.rpartition(":")
         loop = asyncio.get_running_loop()
-        caller = DiscoveryCaller((host, int(port)), NameIndices({}, {}), TEST_TIMEOUT_SECONDS, loop)
+        caller = DiscoveryCaller(Address(host, int(port)), NameIndices({}, {}), TEST_TIMEOUT_SECONDS, loop)
         with pytest.raises(DiscoveryCallError, match=f"call to discovery at {dial} failed: ") as caught:
             await caller.fetch_snapshot(TEST_TIMEOUT_SECONDS)
         assert isinstance(caught.value, DiscoveryError)
--- a/tests/sidecar/discovery/test_client.py
+++ b/tests/sidecar/discovery/test_client.py
@@ -17,8 +17,10 @@
     DiscoveryTimeoutError,
     MalformedDiscoveryResponseError,
 )
+from balancer.sidecar.discovery.client import DiscoveryClient, EndpointListObserver
 from balancer.sidecar.discovery.endpoint_list import EndpointListUpdate
 from balancer.sidecar.discovery.profile import POLLED_DISCOVERY, PUSHED_DISCOVERY
+from balancer.sidecar.runtime.address import Address
 from balancer.time_units import SECOND_NS
 from tests.sidecar.discovery.scripted_discovery import (
     DISCOVERY_FAILED,
@@ -225,7 +227,7 @@
         async with run_sidecar("127.0.0.1:9", discovery=unreachable_address(), settings=settings) as sidecar:
             monkeypatch.setattr(asyncio, "sleep", record_pause)
             host, _, port = unreachable_address().rpartition(":")
-            sidecar.discovery.change_address((host, int(port)))
+            sidecar.discovery.change_address(Address(host, int(port)))
             await enough_pauses.wait()
 
     run(test())
@@ -292,7 +294,25 @@
     run(test())
 
 
-# ---- faults in taking an update
+# ---- faults in applying an update
+
+
+class FailingOnceObserver:
+    """An observer that cannot apply the first update and passes on everything after it."""
+
+    def __init__(self, observer: EndpointListObserver) -> None:
+        self._observer = observer
+        self._failures = [RuntimeError("cannot apply it")]
+
+    def on_endpoint_update(self, update: EndpointListUpdate, kind: EndpointUpdateKind) -> None:
+        """Fail, or pass the update on."""
+        if self._failures:
+            raise self._failures.pop()
+        self._observer.on_endpoint_update(update, kind)
+
+    def on_discovery_failed(self) -> None:
+        """Pass the failure on."""
+        self._observer.on_discovery_failed()
 
 
 @pushed_and_polled
@@ -311,15 +331,10 @@
             run_endpoint(answer_snapshot) as discovery,
             run_sidecar("127.0.0.1:9", discovery=discovery.address, settings=settings) as sidecar,
         ):
-            take_update = sidecar.dispatcher.on_endpoint_update
-            failures = [RuntimeError("cannot take it")]
-
-            def fail_once(update: EndpointListUpdate, kind: EndpointUpdateKind) -> None:
-                if failures:
-                    raise failures.pop()
-                take_update(update, kind)
-
-            sidecar.dispatcher.on_endpoint_update = fail_once  # type: ignore[method-assign]
+            observer = FailingOnceObserver(sidecar.dispatcher)
+            loop = asyncio.get_running_loop()
+            sidecar.discovery = DiscoveryClient(sidecar.config.discovery_client(), observer, loop)
+            sidecar.dispatcher.attach_discovery(sidecar.discovery)
             start_watching(sidecar, polled)
             await sidecar.wait_for_event(is_drain_update)
             assert discovery.received_requests[1].request_line == b"GET /discovery/hosts HTTP/1.1"
--- a/tests/sidecar/discovery/test_discovery_over_sockets.py
+++ b/tests/sidecar/discovery/test_discovery_over_sockets.py
@@ -13,6 +13,7 @@
 
 from balancer.policy_api import EndpointHealth, EndpointUpdate, EndpointUpdateKind, Event
 from balancer.sidecar.discovery.endpoint_list import NameIndices, derive_endpoint_id, parse_endpoint_list
+from balancer.sidecar.runtime.address import Address
 from tests.sidecar.harness import (
     TEST_TIMEOUT_SECONDS,
     ReceivedRequest,
@@ -72,7 +73,7 @@
 def change_discovery_address(sidecar: Sidecar, address: str) -> None:
     """Give the sidecar a new address of discovery."""
     host, _, port = address.rpartition(":")
-    sidecar.discovery.change_address((host, int(port)))
+    sidecar.discovery.change_address(Address(host, int(port)))
 
 
 @async_test
--- a/tests/sidecar/discovery/test_endpoint_list.py
+++ b/tests/sidecar/discovery/test_endpoint_list.py
@@ -18,6 +18,7 @@
     derive_endpoint_id,
     parse_endpoint_list,
 )
+from balancer.sidecar.runtime.address import Address
 from tests.sidecar.harness import SETTINGS, configuration, endpoint_entry, endpoint_list
 
 STORED_LIST = """{
@@ -58,15 +59,15 @@
                 weight=1.5,
                 started_at_ns=1_709_123_456_789_000_000,
             ),
-            ("10.0.3.17", 8080),
+            Address("10.0.3.17", 8080),
         ),
         DiscoveredEndpoint(
             Endpoint(derive_endpoint_id("s-81b0"), 1, 1, 4, EndpointHealth.DRAINING, 0.5, 0),
-            ("fd00::17", 8080),
+            Address("fd00::17", 8080),
         ),
         DiscoveredEndpoint(
             Endpoint(derive_endpoint_id("s-90c4"), 0, 0, 5, EndpointHealth.REMOVED, 1.0, 7_000_000),
-            ("10.0.3.19", 8080),
+            Address("10.0.3.19", 8080),
         ),
     )
 
--- a/tests/sidecar/discovery/test_retry.py
+++ b/tests/sidecar/discovery/test_retry.py
@@ -13,8 +13,9 @@
 )
 from balancer.sidecar.discovery.profile import POLLED_DISCOVERY, PUSHED_DISCOVERY, DiscoveryProfile
 from balancer.sidecar.discovery.retry import Backoff, WatchRetryPolicy
+from balancer.sidecar.runtime.address import Address
 
-ADDRESS = ("127.0.0.1", 9)
+ADDRESS = Address("127.0.0.1", 9)
 FAILURE = DiscoveryCallError(ADDRESS, "a test")
 TIMEOUT = DiscoveryTimeoutError(ADDRESS, "a test")
 MALFORMED = MalformedDiscoveryResponseError(ADDRESS, "a test")
--- a/tests/sidecar/discovery/test_wall_clock_steps.py
+++ b/tests/sidecar/discovery/test_wall_clock_steps.py
@@ -22,13 +22,13 @@
 
 
 class RecordingPolicy:
-    """A policy that decides nothing and remembers the ages at which it is told of endpoints."""
+    """A policy that decides nothing and records the ages of the endpoints in its events."""
 
     def __init__(self) -> None:
         self.ages_ns: list[int] = []
 
     def handle(self, now_ns: int, event: Event) -> Sequence[Action]:
-        """Note the age of each endpoint in an endpoint update."""
+        """Record the age of each endpoint in an endpoint update."""
         if isinstance(event, EndpointUpdate):
             self.ages_ns += [now_ns - endpoint.started_at_ns for endpoint in event.endpoints]
         return ()
@@ -60,10 +60,10 @@
         loop = asyncio.get_running_loop()
         self._dispatcher = Dispatcher(self._config, loop, Clock(), self.policy)
 
-    def hear_of(
+    def listed_age_ns(
         self, born_ns: int, name: str = "s-new", kind: EndpointUpdateKind = EndpointUpdateKind.DELTA
     ) -> int:
-        """Take an endpoint update with one endpoint, and return the age that the policy sees."""
+        """Apply an endpoint update with one endpoint, and return the age that the policy sees."""
         entry = endpoint_entry(name, "127.0.0.1:9") | {"born_ms": born_ns // MILLISECOND_NS}
         update = parse_endpoint_list(endpoint_list(2, entry, whole=False), self._config.name_indices)
         self._dispatcher.on_endpoint_update(update, kind)
@@ -77,7 +77,7 @@
         wall_clock = SteppedWallClock(monkeypatch)
         sidecar = Sidecar()
         wall_clock.step(step_seconds)
-        age_ns = sidecar.hear_of(born_ns=wall_clock.time_ns())
+        age_ns = sidecar.listed_age_ns(born_ns=wall_clock.time_ns())
         assert 0 <= age_ns < MAX_ERROR_NS
 
 
@@ -88,9 +88,9 @@
         wall_clock = SteppedWallClock(monkeypatch)
         sidecar = Sidecar()
         born_ns = wall_clock.time_ns() - 3 * SECOND_NS
-        sidecar.hear_of(born_ns)
+        sidecar.listed_age_ns(born_ns)
         wall_clock.step(step_seconds)
-        age_ns = sidecar.hear_of(born_ns)
+        age_ns = sidecar.listed_age_ns(born_ns)
         assert 3 * SECOND_NS <= age_ns < 3 * SECOND_NS + MAX_ERROR_NS
 
 
@@ -104,7 +104,7 @@
         sidecar = Sidecar()
         born_ns = wall_clock.time_ns() - 3 * SECOND_NS
         wall_clock.step(step_seconds)
-        assert 0 <= sidecar.hear_of(born_ns) < 3 * SECOND_NS + MAX_ERROR_NS
+        assert 0 <= sidecar.listed_age_ns(born_ns) < 3 * SECOND_NS + MAX_ERROR_NS
 
 
 @async_test
@@ -112,20 +112,22 @@
     with pytest.MonkeyPatch.context() as monkeypatch:
         wall_clock = SteppedWallClock(monkeypatch)
         sidecar = Sidecar()
-        sidecar.hear_of(wall_clock.time_ns() - 60 * SECOND_NS)
+        sidecar.listed_age_ns(wall_clock.time_ns() - 60 * SECOND_NS)
         wall_clock.step(-HOUR_SECONDS)
-        assert 0 <= sidecar.hear_of(wall_clock.time_ns()) < MAX_ERROR_NS
+        assert 0 <= sidecar.listed_age_ns(wall_clock.time_ns()) < MAX_ERROR_NS
 
 
 @async_test
 async def test_start_in_the_future_counts_from_when_it_is_heard_of() -> None:
     """A sidecar that started after a step back, and an endpoint from before it."""
     sidecar = Sidecar()
-    age_ns = sidecar.hear_of(time.time_ns() + HOUR_SECONDS * SECOND_NS, kind=EndpointUpdateKind.SNAPSHOT)
+    age_ns = sidecar.listed_age_ns(
+        time.time_ns() + HOUR_SECONDS * SECOND_NS, kind=EndpointUpdateKind.SNAPSHOT
+    )
     assert 0 <= age_ns < MAX_ERROR_NS
 
 
 @async_test
 async def test_start_long_ago_stays_unknown() -> None:
     sidecar = Sidecar()
-    assert sidecar.hear_of(born_ns=0) > HOUR_SECONDS * SECOND_NS
+    assert sidecar.listed_age_ns(born_ns=0) > HOUR_SECONDS * SECOND_NS
