--- a/balancer/__init__.py
+++ b/balancer/__init__.py
@@ -1,4 +1,4 @@
-"""balancer: the decisions of a client-side load balancer that runs as a sidecar."""
+"""A client-side load balancer that runs as a sidecar."""
 
 from balancer.policy.balancer import Balancer
 from balancer.policy_api import Settings
--- a/balancer/__main__.py
+++ b/balancer/__main__.py
@@ -17,29 +17,41 @@
     UnreadableConfigurationError,
     load_configuration,
 )
-from balancer.sidecar.process.lifecycle import block_signals, run_sidecar
+from balancer.sidecar.process.lifecycle import run_sidecar
+from balancer.sidecar.process.signals import block_signals
 from balancer.sidecar.runtime.sockets import RESOURCE_SHORTAGE_ERRNOS
 
 LOG_FORMAT = "%(levelname)s %(name)s: %(message)s"
+"""The form of a log line; its message is an event and its fields, `event key=value key=value`."""
+
 LOG_LEVELS = ("DEBUG", "INFO", "WARNING", "ERROR")
+"""The values of the environment variable PROXY_LOG_LEVEL."""
+
 DEFAULT_LOG_LEVEL = "WARNING"
+"""The log level where PROXY_LOG_LEVEL is not set or has another value."""
 
 EXIT_OS_ERROR = 1
+"""The exit code where the operating system keeps the sidecar from starting."""
+
 EXIT_CONFIGURATION_ERROR = 2
+"""The exit code where the configuration is missing or invalid."""
 
 MAX_START_SECONDS = 25.0
 """From the start until a shortage ends the process: a sidecar that is not ready in 30 s has failed."""
+
 START_RETRY_SECONDS = 0.05
+"""The pause before another attempt to start: short against the time in which a sidecar has to be ready."""
+
 TRANSIENT_READ_ERRNOS = RESOURCE_SHORTAGE_ERRNOS | {errno.EIO, errno.EAGAIN}
-"""Errors of reading the configuration that may be over soon; a file that is missing is not."""
+"""Errors of reading the configuration that may be over soon; a file that is missing is not among them."""
 
 
 def main() -> int:
-    """Run a sidecar until it is told to stop, and return the exit code of the process."""
+    """Run a sidecar until a signal ends it, and return the exit code of the process."""
     logging.basicConfig(level=_log_level(os.environ.get("PROXY_LOG_LEVEL", "")), format=LOG_FORMAT)
-    start_deadline = time.monotonic() + MAX_START_SECONDS
+    start_deadline_seconds = time.monotonic() + MAX_START_SECONDS
     try:
-        config = _load_configuration(start_deadline)
+        config = _load_configuration(start_deadline_seconds)
     except ConfigurationError as error:
         print(f"balancer: {error}", file=sys.stderr)
         return EXIT_CONFIGURATION_ERROR
@@ -48,7 +60,7 @@
     block_signals()
     gc.freeze()  # what is loaded by now stays: the collector need not go over it again
     try:
-        _run(config, start_deadline)
+        _run(config, start_deadline_seconds)
     except OSError as error:
         print(f"balancer: {error}", file=sys.stderr)
         return EXIT_OS_ERROR
@@ -56,28 +68,30 @@
 
 
 def _log_level(name: str) -> str:
-    """Return the log level of this name; another name counts as none, as the program must start."""
+    """Return the log level of this name, or the default for any other name: the program must start."""
     return name.upper() if name.upper() in LOG_LEVELS else DEFAULT_LOG_LEVEL
 
 
-def _load_configuration(start_deadline: float) -> SidecarConfiguration:
-    """Load the configuration, once more after an error that may be over soon. Raises ConfigurationError."""
+def _load_configuration(start_deadline_seconds: float) -> SidecarConfiguration:
+    """Load the configuration, again after an error that may be over soon. Raises ConfigurationError."""
     while True:
         try:
             return load_configuration(os.environ)
         except UnreadableConfigurationError as error:
-            if error.error_number not in TRANSIENT_READ_ERRNOS or time.monotonic() >= start_deadline:
+            is_transient = error.error_number in TRANSIENT_READ_ERRNOS
+            if not is_transient or time.monotonic() >= start_deadline_seconds:
                 raise
         time.sleep(START_RETRY_SECONDS)
 
 
-def _run(config: SidecarConfiguration, start_deadline: float) -> None:
+def _run(config: SidecarConfiguration, start_deadline_seconds: float) -> None:
     """Run the sidecar; where a shortage keeps it from starting, start it again. Raises OSError."""
     while True:
         try:
             uvloop.run(run_sidecar(config))
         except OSError as error:
-            if error.errno not in RESOURCE_SHORTAGE_ERRNOS or time.monotonic() >= start_deadline:
+            is_shortage = error.errno in RESOURCE_SHORTAGE_ERRNOS
+            if not is_shortage or time.monotonic() >= start_deadline_seconds:
                 raise
         else:
             return
--- a/balancer/errors.py
+++ b/balancer/errors.py
@@ -1,7 +1,7 @@
-"""The root of every exception that this package raises on purpose.
+"""The base classes of the exceptions that this package raises.
 
 Each part has its own subclasses beside the code that raises them. An exception carries what went wrong as
-fields and says it in one plain line, fit for a log or for standard error.
+fields, and its text is one plain line, fit for a log or for standard error.
 """
 
 from __future__ import annotations
--- a/balancer/json_object.py
+++ b/balancer/json_object.py
@@ -12,7 +12,7 @@
 
 
 class FieldErrorFactory(Protocol):
-    """Makes the error for an invalid field, usually the class of that error."""
+    """Makes the error for an invalid field; usually the class of that error."""
 
     def __call__(self, key: str, problem: str, value: object) -> BalancerError:
         """Make the error from the key, the rest of a sentence that begins with it, and the value."""
@@ -29,7 +29,7 @@
 
 
 def is_integer(value: object) -> TypeGuard[int]:
-    """Return whether a decoded value is an integer; to Python `true` and `false` are such, too."""
+    """Return whether a decoded value is an integer; the booleans, which are `int` in Python, are not."""
     return isinstance(value, int) and not isinstance(value, bool)
 
 
@@ -80,7 +80,7 @@
         return objects
 
     def read_number(self, key: str, default: float | None = None, low: float = 0) -> float:
-        """Return a finite number of at least `low`; it is due where there is no default."""
+        """Return a finite number of at least `low`; it is required where there is no default."""
         value = self._fields.get(key, default)
         if not is_number(value) or not low <= value < math.inf:
             raise self.make_error(key, f"is {value!r}", value)
@@ -91,16 +91,16 @@
         return int(self.read_number(key, default, low))
 
     def read_choice(self, key: str, choices: Mapping[str, Choice], default: str | None = None) -> Choice:
-        """Return what a text stands for; it is due where there is no default."""
+        """Return what a text stands for in `choices`; it is required where there is no default."""
         value = self._fields.get(key, default)
         if not isinstance(value, str) or value not in choices:
             raise self.make_error(key, f"is {value!r}", value)
         return choices[value]
 
     def read_flag(self, key: str) -> bool:
-        """Return whether a field is there and neither false, zero nor empty."""
+        """Return whether a field is present and neither null, false, zero nor empty."""
         return bool(self._fields.get(key))
 
     def read_text(self, key: str, default: str = "") -> str:
-        """Return a field as text, whatever its type."""
+        """Return a field converted to text, whatever its type."""
         return str(self._fields.get(key, default))
--- a/balancer/settings_parser.py
+++ b/balancer/settings_parser.py
@@ -1,4 +1,4 @@
-"""Translates the settings of an instance, as nested JSON, into the typed settings of the decisions."""
+"""Translates the settings of an instance, which are nested JSON, into the typed settings of the policy."""
 
 from __future__ import annotations
 
@@ -11,18 +11,24 @@
 from balancer.time_units import MILLISECOND_NS, SECOND_NS
 
 DEFAULT_POLL_WINDOW_NS = 10 * SECOND_NS
+"""Within how long of its start a sidecar calls discovery, where the settings do not say."""
+
 DEFAULT_SCHEDULING_TICK_NS = 5 * MILLISECOND_NS
+"""The shortest time between two turns of a sidecar, where the settings do not say."""
 
 _IDEMPOTENCY_BY_NAME = {
     "retryable": Idempotency.IDEMPOTENT,
     "dedup": Idempotency.IDEMPOTENCY_KEY,
     "fragile": Idempotency.NOT_IDEMPOTENT,
 }
+"""The values of a class's `Effect`."""
+
 _SCOPE_BY_NAME = {
     "all": DeduplicationScope.ALL,
     "zone": DeduplicationScope.ZONE,
     "cell": DeduplicationScope.CELL,
 }
+"""The values of a class's `KeyScope`."""
 
 
 class SettingsError(ConfigurationError):
@@ -73,6 +79,7 @@
 
 
 def _read_request_class(fields: JsonObject) -> RequestClass:
+    """Return one entry of `Categories`."""
     return RequestClass(
         name=fields.read_text("Name"),
         latency_objective_ns=fields.read_integer("AimNs", low=1),
@@ -87,7 +94,7 @@
 
 
 def _add_instance(settings: Settings, top: JsonObject) -> Settings:
-    """Add which of the sidecars this is, and where it runs."""
+    """Add the position of this sidecar among all of them, and its zone."""
     return replace(
         settings,
         instance_index=top.read_integer("Position", 0),
@@ -98,6 +105,7 @@
 
 
 def _add_tenants(settings: Settings, top: JsonObject) -> Settings:
+    """Add the tenants and the weight of requests over a quota."""
     tenants = tuple(
         Tenant(fields.read_text("Name"), fields.read_number("QuotaPerS", 0))
         for fields in top.read_objects("Orgs")
@@ -106,6 +114,7 @@
 
 
 def _add_discovery(settings: Settings, top: JsonObject) -> Settings:
+    """Add whether discovery is polled, and within which time of the start."""
     rules = top.read_object("Rules")
     return replace(
         settings,
@@ -115,7 +124,7 @@
 
 
 def _add_limits(settings: Settings, limits: JsonObject) -> Settings:
-    """Add what the instance can do and how often it may retry."""
+    """Add the limits on attempts and connections, and the optional features that are enabled."""
     clients_heed_retry_after = limits.read_flag("RetryAfter")
     return replace(
         settings,
@@ -130,6 +139,7 @@
 
 
 def _add_slow_start(settings: Settings, rules: JsonObject) -> Settings:
+    """Add the capacity of endpoints that are warming up."""
     return replace(
         settings,
         slow_start_capacity=rules.read_number("ColdFrom", 1),
@@ -139,6 +149,7 @@
 
 
 def _add_prices(settings: Settings, prices: JsonObject) -> Settings:
+    """Add the prices of what an attempt may cost."""
     return replace(
         settings,
         cross_zone_price=prices.read_number("CrossZone", 0),
@@ -149,6 +160,7 @@
 
 
 def _add_load_reports(settings: Settings, statistics: JsonObject) -> Settings:
+    """Add the fields of load reports; none where these are switched off."""
     field_names = tuple(str(name) for name in statistics.read_list("Fields"))
     are_off = statistics.get("Via") == "off"
     return replace(settings, load_report_fields=() if are_off else field_names)
--- a/balancer/sidecar/__init__.py
+++ b/balancer/sidecar/__init__.py
@@ -1,1 +1,1 @@
-"""The real sidecar: sockets, timers and processes around the decisions."""
+"""The sidecar itself: sockets, timers and processes around the policy."""
--- /dev/null
+++ b/tests/sidecar/process/conftest.py
@@ -0,0 +1,15 @@
+"""Fixtures of the tests that run the program in a process of its own."""
+
+from __future__ import annotations
+
+from pathlib import Path
+
+import pytest
+
+from tests.sidecar.process_harness import ConfigurationFile
+
+
+@pytest.fixture
+def configuration_file(tmp_path: Path) -> ConfigurationFile:
+    """Return the configuration file of one sidecar, which has yet to be written."""
+    return ConfigurationFile(tmp_path)
