--- a/tests/sidecar/process/test_configuration_errors.py
+++ b/tests/sidecar/process/test_configuration_errors.py
@@ -10,14 +10,8 @@
 
 import pytest
 
-from tests.sidecar.harness import (
-    SETTINGS,
-    configuration,
-)
-from tests.sidecar.process_harness import (
-    COMMAND,
-    REPOSITORY_ROOT,
-)
+from tests.sidecar.harness import SETTINGS, configuration
+from tests.sidecar.process_harness import COMMAND, REPOSITORY_ROOT
 
 
 def run_to_error(environment: dict[str, str]) -> str:
--- a/tests/sidecar/process/test_configuration_reloader.py
+++ b/tests/sidecar/process/test_configuration_reloader.py
@@ -16,11 +16,7 @@
     unreachable_address,
 )
 from tests.sidecar.process.log_lines import RELOAD_FAILED
-from tests.sidecar.process_harness import (
-    ConfigurationFile,
-    connect,
-    start_process,
-)
+from tests.sidecar.process_harness import ConfigurationFile, connect, start_process
 
 
 async def send_hang_ups_until_exit(process: asyncio.subprocess.Process) -> int:
--- a/tests/sidecar/process/test_lifecycle.py
+++ b/tests/sidecar/process/test_lifecycle.py
@@ -4,23 +4,14 @@
 
 import asyncio
 import json
+import re
 import signal
 
 import pytest
 
 from tests.sidecar.downstream.harness import CLOSE_HEADER, READINESS_REQUEST
-from tests.sidecar.harness import (
-    answer_ok,
-    async_test,
-    request_bytes,
-    run_endpoint,
-    unreachable_address,
-)
-from tests.sidecar.process_harness import (
-    ConfigurationFile,
-    connect,
-    start_process,
-)
+from tests.sidecar.harness import answer_ok, async_test, request_bytes, run_endpoint, unreachable_address
+from tests.sidecar.process_harness import ConfigurationFile, connect, start_process
 
 
 @async_test
@@ -59,6 +50,38 @@
             await process.wait()
 
 
+@async_test
+async def test_start_reload_and_shutdown_are_logged_in_one_form(
+    configuration_file: ConfigurationFile, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    monkeypatch.setenv("PROXY_LOG_LEVEL", "INFO")
+    discovery_address = unreachable_address()
+    configuration_file.write("127.0.0.1:9", discovery=discovery_address)
+    process = await start_process(configuration_file.path, stderr=asyncio.subprocess.PIPE)
+    client = await connect(configuration_file.listen_address)
+    assert process.stderr is not None
+    lines = [await process.stderr.readline()]
+    process.send_signal(signal.SIGHUP)
+    lines.append(await process.stderr.readline())
+    client.writer.close()
+    process.terminate()
+    assert await process.wait() == 0
+    lines += (await process.stderr.read()).splitlines(keepends=True)
+    listen_address = configuration_file.listen_address
+    assert lines[0].decode() == (f"INFO balancer.sidecar.process.lifecycle: ready address={listen_address}\n")
+    assert lines[1].decode() == (
+        "INFO balancer.sidecar.process.configuration_reloader: "
+        f"configuration_reloaded discovery={discovery_address}\n"
+    )
+    assert re.fullmatch(
+        rb"INFO balancer\.sidecar\.process\.lifecycle: "
+        rb"shutdown_started connections=[01] requests_in_flight=0\n",
+        lines[2],
+    )
+    assert lines[3].startswith(b"INFO balancer.sidecar.process.lifecycle: metrics {")
+    assert len(lines) == 4
+
+
 @async_test
 async def test_sigusr1_writes_the_counters_to_the_log(configuration_file: ConfigurationFile) -> None:
     async with run_endpoint(answer_ok) as endpoint:
--- a/tests/sidecar/requests/test_dispatcher.py
+++ b/tests/sidecar/requests/test_dispatcher.py
@@ -3,6 +3,8 @@
 from __future__ import annotations
 
 import asyncio
+import logging
+import re
 from collections.abc import Callable
 from typing import cast
 
@@ -38,6 +40,7 @@
     run_endpoint,
     run_sidecar,
     status_response,
+    unreachable_address,
     wait_until,
 )
 from tests.sidecar.runtime.clock_control import stop_clock
@@ -227,6 +230,23 @@
         assert len(states) == 2
 
 
+@async_test
+async def test_answer_of_the_sidecar_is_logged_with_its_request_and_endpoint(
+    caplog: pytest.LogCaptureFixture,
+) -> None:
+    caplog.set_level(logging.DEBUG, logger="balancer.sidecar.requests")
+    async with run_sidecar(unreachable_address()) as sidecar:
+        client = await sidecar.connect_client()
+        assert (await client.exchange(request_bytes("post", request_id="9b1f"))).status == 503
+    [line] = [message for message in caplog.messages if message.startswith("request_answered ")]
+    endpoint_id = derive_endpoint_id("s-0").hex()
+    assert re.fullmatch(
+        r"request_answered request=1 answer=rejected client_request_id=b'9b1f' attempts=[1-5] "
+        rf"last_endpoint={endpoint_id} last_outcome=CONNECT_FAILED may_have_run=False",
+        line,
+    )
+
+
 # ---- a policy that breaks the rules
 
 
@@ -321,3 +341,24 @@
         raw = request_bytes("post", extra_headers=b"Idempotency-Key: 7\r\n")
         assert (await client.exchange(raw)).status == 200
         assert sidecar.dispatcher.metrics.value(Metric.VIOLATIONS, Invariant.REPEAT_ALLOWED) == 0
+
+
+@async_test
+async def test_refused_attempt_is_logged_with_its_request_and_endpoint(
+    caplog: pytest.LogCaptureFixture,
+) -> None:
+    caplog.set_level(logging.DEBUG, logger="balancer.sidecar")
+    async with run_endpoint(answer_error) as endpoint, run_sidecar(endpoint.address) as sidecar:
+        endpoint_id = derive_endpoint_id("s-0")
+        policy = RecklessPolicy(endpoint_id, lambda request_id: StartAttempt(request_id, endpoint_id, 0, 0))
+        replace_policy(sidecar, policy)
+        client = await sidecar.connect_client()
+        assert (await client.exchange(request_bytes("post"))).status == 502
+    fields = f"request=1 endpoint={endpoint_id.hex()}"
+    assert f"attempt_refused {fields} reason=repeat_forbidden" in caplog.messages
+    [violation] = [message for message in caplog.messages if message.startswith("invariant_violated ")]
+    assert re.fullmatch(
+        rf"invariant_violated invariant=repeat_allowed {fields} "
+        r"class=post group=0/1 executing_group=0/1 after_window_ms=\+\d+\.\d",
+        violation,
+    )
