--- a/soak/mutants.py
+++ b/soak/mutants.py
@@ -37,9 +37,9 @@
 
 
 _CHECK_BEFORE_SENDING = Replacement(
-    "balancer/sidecar/requests/dispatcher.py",
-    "if not request.answered and request.response_sink.is_disconnected():",
-    "if False:",
+    "balancer/sidecar/requests/in_flight_request.py",
+    "return not self.answered and self.response_sink.is_disconnected()",
+    "return False",
 )
 _DISCONNECT_EVENT = Replacement(
     "balancer/sidecar/downstream/connection.py",
@@ -56,7 +56,7 @@
     ),
     _mutant(
         "every request gets a response by its deadline",
-        "balancer/sidecar/requests/dispatcher.py",
+        "balancer/sidecar/requests/request_deadlines.py",
         "self._attempts.continue_in_background(request)\n        if not request.answered:",
         "if False:",
     ),
@@ -65,7 +65,7 @@
     Mutant("no attempt starts for a disconnected client: both", (_CHECK_BEFORE_SENDING, _DISCONNECT_EVENT)),
     _mutant(
         "an attempt that is not completely sent is cancelled with its client",
-        "balancer/sidecar/requests/dispatcher.py",
+        "balancer/sidecar/requests/client_disconnects.py",
         "            request.attempt.give_up_unsent()",
         "            pass",
     ),
@@ -126,12 +126,12 @@
     _mutant(
         "a shortage of sockets at the start is waited out",
         "balancer/__main__.py",
-        "if error.errno not in RESOURCE_SHORTAGE_ERRNOS or time.monotonic() >= start_deadline:",
+        "if not is_shortage or time.monotonic() >= start_deadline_seconds:",
         "if True:",
     ),
     _mutant(
         "an unreadable configuration is read again",
-        "balancer/sidecar/process/lifecycle.py",
+        "balancer/sidecar/process/configuration_reloader.py",
         "            if self._attempts_left:\n",
         "            if False:\n",
     ),
@@ -143,13 +143,13 @@
     ),
     _mutant(
         "a shutdown responds to requests in flight",
-        "balancer/sidecar/process/lifecycle.py",
+        "balancer/sidecar/process/graceful_shutdown.py",
         "self._dispatcher.expire_all_within(self._exit_delay_seconds - LAST_RESPONSES_BEFORE_EXIT_SECONDS)",
         "pass",
     ),
     _mutant(
         "a shutdown waits for the clients",
-        "balancer/sidecar/process/lifecycle.py",
+        "balancer/sidecar/process/graceful_shutdown.py",
         "            await asyncio.wait_for(self._listener.wait_until_closed(), seconds_left)",
         "            await asyncio.sleep(min(0.1, seconds_left))",
     ),
--- a/tests/sidecar/downstream/test_acceptor.py
+++ b/tests/sidecar/downstream/test_acceptor.py
@@ -10,6 +10,7 @@
 import pytest
 
 from balancer.sidecar.downstream.acceptor import Acceptor, open_listening_socket
+from balancer.sidecar.runtime.address import Address
 from balancer.sidecar.runtime.metrics import Metric, Metrics
 from tests.sidecar.harness import async_test
 
@@ -70,7 +71,7 @@
 )
 @async_test
 async def test_connection_is_accepted_after_failures(number: int) -> None:
-    listening = open_listening_socket(("127.0.0.1", 0))
+    listening = open_listening_socket(Address("127.0.0.1", 0))
     failing = cast(socket.socket, FailingSocket(listening, number, number))
     acceptor = Acceptor(failing, asyncio.get_running_loop(), Greeter, Metrics())
     acceptor.start()
@@ -80,7 +81,7 @@
 
 @async_test
 async def test_close_attaches_connections_that_wait_already() -> None:
-    listening = open_listening_socket(("127.0.0.1", 0))
+    listening = open_listening_socket(Address("127.0.0.1", 0))
     acceptor = Acceptor(listening, asyncio.get_running_loop(), Greeter, Metrics())
     client = socket.create_connection(listening.getsockname())
     await acceptor.close()
@@ -90,7 +91,7 @@
 
 @async_test
 async def test_close_while_accepting_fails_ends_at_once() -> None:
-    listening = open_listening_socket(("127.0.0.1", 0))
+    listening = open_listening_socket(Address("127.0.0.1", 0))
     failing = cast(socket.socket, FailingSocket(listening, *[errno.ENFILE] * 3))
     acceptor = Acceptor(failing, asyncio.get_running_loop(), Greeter, Metrics())
     acceptor.start()
@@ -109,7 +110,7 @@
         waited_since_seconds.append(unread_since_seconds)
         return Greeter(unread_since_seconds)
 
-    listening = open_listening_socket(("127.0.0.1", 0))
+    listening = open_listening_socket(Address("127.0.0.1", 0))
     failing = cast(socket.socket, FailingSocket(listening, errno.ENFILE, errno.ENFILE))
     metrics = Metrics()
     acceptor = Acceptor(failing, loop, make_greeter, metrics)
--- a/tests/sidecar/downstream/test_pipelining.py
+++ b/tests/sidecar/downstream/test_pipelining.py
@@ -63,9 +63,8 @@
 
 def stop_clocks(sidecar: Sidecar) -> None:
     """Stop the sidecar's clock, so that the times that attempts announce are exact."""
-    now_ns = sidecar.dispatcher.now_ns()
-    sidecar.dispatcher.now_ns = lambda: now_ns
-    sidecar.dispatcher.upstream.now_ns = lambda: now_ns
+    now_ns = sidecar.dispatcher.clock.monotonic_ns()
+    sidecar.dispatcher.clock.monotonic_ns = lambda: now_ns
 
 
 @contextlib.asynccontextmanager
--- a/tests/sidecar/upstream/test_attempt_connecting.py
+++ b/tests/sidecar/upstream/test_attempt_connecting.py
@@ -254,7 +254,7 @@
         run_sidecar(first.address, second.address, settings=change_classes({}, DEDUPLICATED)) as sidecar,
     ):
         gate = ConnectGate(sidecar, holds_established=False)
-        now_ns = sidecar.dispatcher.now_ns
+        now_ns = sidecar.dispatcher.clock.monotonic_ns
         gate.opened.set()
         client = await sidecar.connect_client()
         client.writer.write(request_bytes("post", extra_headers=KEY_HEADER))
@@ -264,8 +264,7 @@
         may_close.set()
         await gate.reached.wait()  # the retry is decided, and has no connection yet
         if late:
-            sidecar.dispatcher.now_ns = lambda: now_ns() + 2 * SECOND_NS
-            sidecar.dispatcher.upstream.now_ns = lambda: now_ns() + 2 * SECOND_NS
+            sidecar.dispatcher.clock.monotonic_ns = lambda: now_ns() + 2 * SECOND_NS
         gate.opened.set()
         status_code, _, _ = await client.read_response()
         retry = await sidecar.wait_for_event(
