--- a/balancer/policy/endpoint_estimates.py
+++ b/balancer/policy/endpoint_estimates.py
@@ -4,6 +4,8 @@
 time, because an endpoint that was slow or failing a minute ago is likely to have recovered.
 """
 
+from typing import NamedTuple
+
 from balancer.time_units import HOUR_NS, SECOND_NS
 
 SMOOTHING = 0.25
@@ -21,16 +23,26 @@
     return ESTIMATE_HALF_LIFE_NS / (ESTIMATE_HALF_LIFE_NS + max(0, now_ns - updated_at_ns))
 
 
+class ClassFailureRate(NamedTuple):
+    """The smoothed failure rate of one request class at an endpoint."""
+
+    rate: float
+    updated_at_ns: int
+
+
+NO_FAILURES = ClassFailureRate(0.0, 0)
+"""The estimate before the first outcome; shared, as most endpoints of a long list never get a request."""
+
+
 class FailureRateEstimate:
     """The smoothed share of attempts that fail, over all request classes and for each one."""
 
-    __slots__ = ("_class_rates", "_class_updated_at_ns", "overall", "updated_at_ns")
+    __slots__ = ("_by_class", "overall", "updated_at_ns")
 
     def __init__(self, class_count: int) -> None:
         self.overall = 0.0
         self.updated_at_ns = 0
-        self._class_rates = [0.0] * class_count
-        self._class_updated_at_ns = [0] * class_count
+        self._by_class = [NO_FAILURES] * class_count
 
     def record(self, failed: bool, now_ns: int) -> None:
         """Record the outcome of an attempt of any class."""
@@ -39,9 +51,8 @@
 
     def record_for_class(self, class_index: int, failed: bool, now_ns: int) -> None:
         """Record the outcome of an attempt of one class."""
-        rates = self._class_rates
-        rates[class_index] += SMOOTHING * (failed - rates[class_index])
-        self._class_updated_at_ns[class_index] = now_ns
+        rate = self._by_class[class_index].rate
+        self._by_class[class_index] = ClassFailureRate(rate + SMOOTHING * (failed - rate), now_ns)
 
     def expected(self, class_index: int, now_ns: int) -> float:
         """Return the failure rate to expect for a class: the higher of its own and the overall one.
@@ -52,9 +63,9 @@
         overall = self.overall
         if overall:
             overall *= freshness(self.updated_at_ns, now_ns)
-        class_rate = self._class_rates[class_index]
+        class_rate, class_updated_at_ns = self._by_class[class_index]
         if class_rate:
-            class_rate *= freshness(self._class_updated_at_ns[class_index], now_ns)
+            class_rate *= freshness(class_updated_at_ns, now_ns)
         return max(overall, class_rate)
 
 
