--- a/balancer/policy/control_cycle.py
+++ b/balancer/policy/control_cycle.py
@@ -34,7 +34,7 @@
         self._running_attempts = running_attempts
 
     def end_if_full(self, now_ns: int) -> None:
-        """End the cycle if it has reached the number of attempts that are enough for one."""
+        """End the cycle when its attempts reach the limit, or a multiple of it if samples were too few."""
         if self._overload.cycle_attempts % MAX_ATTEMPTS_PER_CYCLE == 0:
             self.end(now_ns)
 
--- a/balancer/policy/endpoint_picker.py
+++ b/balancer/policy/endpoint_picker.py
@@ -62,33 +62,16 @@
         return self.load(remote, class_index, now_ns) + margin < self.load(local, class_index, now_ns)
 
     def candidates(self, zone: ZoneSubset, request: RequestState, now_ns: int) -> list[EndpointState]:
-        """Return the warm endpoints that may get the request: the idle, healthy ones if there are any."""
-        settings = self._settings
-        key_hash = request.key_hash if settings.key_affinity else 0
-        binding = request.deduplication
-        last_endpoint = request.attempt.endpoint
-        warm = [
-            endpoint
-            for endpoint in self._pool(zone, key_hash, binding)
-            if endpoint is not last_endpoint and capacity(settings, endpoint, now_ns) >= 1
-        ]
-        if request.probe:
-            probed = request.probe.endpoints
-            warm = [endpoint for endpoint in warm if endpoint not in probed]
-        if binding:
-            scope = request.request_class.deduplication_scope
-            warm = [endpoint for endpoint in warm if endpoint.drops_duplicates_of(binding.endpoint, scope)]
-        if key_hash or binding:
-            warm = [endpoint for endpoint in warm if endpoint.ejection.until_ns <= now_ns]
-        if key_hash:
-            warm = _endpoints_of_key(warm, key_hash)
+        """Return the endpoints that the request should go to: the idle, healthy ones if any are eligible."""
+        eligible = self._eligible_endpoints(zone, request, now_ns)
         class_index = request.class_index
-        return [
+        idle_and_healthy = [
             endpoint
-            for endpoint in warm
+            for endpoint in eligible
             if not endpoint.in_flight
             and endpoint.failure_rate.expected(class_index, now_ns) <= USUAL_FAILURE_RATE
-        ] or warm
+        ]
+        return idle_and_healthy or eligible
 
     def load(self, endpoint: EndpointState, class_index: int, now_ns: int) -> float:
         """Return the load of an endpoint: its attempts in flight, and more if it often fails.
@@ -113,6 +96,29 @@
         failure_time_ns = failure_rate * self._failure_costs_ns[class_index]
         return mean_time_ns * latency_ratio.expected(now_ns) + failure_time_ns
 
+    def _eligible_endpoints(
+        self, zone: ZoneSubset, request: RequestState, now_ns: int
+    ) -> list[EndpointState]:
+        """Return the warm endpoints that may get the request and have not failed it just before."""
+        settings = self._settings
+        key_hash = request.key_hash if settings.key_affinity else 0
+        binding = request.deduplication
+        last_endpoint = request.attempt.endpoint
+        warm = [
+            endpoint
+            for endpoint in self._pool(zone, key_hash, binding)
+            if endpoint is not last_endpoint and capacity(settings, endpoint, now_ns) >= 1
+        ]
+        if request.probe:
+            probed = request.probe.endpoints
+            warm = [endpoint for endpoint in warm if endpoint not in probed]
+        if binding:
+            scope = request.request_class.deduplication_scope
+            warm = [endpoint for endpoint in warm if endpoint.drops_duplicates_of(binding.endpoint, scope)]
+        if key_hash or binding:  # the subsets leave out ejected endpoints, other pools do not
+            warm = [endpoint for endpoint in warm if endpoint.ejection.until_ns <= now_ns]
+        return _endpoints_of_key(warm, key_hash) if key_hash else warm
+
     def _pool(
         self, zone: ZoneSubset, key_hash: int, binding: DeduplicationBinding | None
     ) -> list[EndpointState]:
--- a/balancer/policy/zone_router.py
+++ b/balancer/policy/zone_router.py
@@ -6,7 +6,7 @@
 from balancer.policy.endpoint_state import EndpointState
 from balancer.policy.overload import OverloadDetector
 from balancer.policy.request_state import RequestState
-from balancer.policy.subset import SubsetSelector
+from balancer.policy.subset import SubsetSelector, ZoneSubset
 
 
 class ZoneRouter:
@@ -37,19 +37,17 @@
         self._subsets.refresh(now_ns)
         local = self._subsets.local
         remote = self._subsets.remote
-        may_cross = self.may_cross_zones(request)
-        crosses = may_cross and (not local.members or self.spills_over())
-        zone = remote if crosses else local
-        is_first_choice = not request.attempt_count and not request.probe
-        endpoint = zone.allowance.take(now_ns) if is_first_choice else None
-        endpoint = endpoint or self._picker.pick(zone, request, now_ns)
-        if crosses or not may_cross:
-            return endpoint
-        alternative = self._picker.pick(remote, request, now_ns)
-        if endpoint is None or alternative is None:
-            return endpoint or alternative
-        prefers_remote = self._picker.prefers_remote(alternative, endpoint, request.class_index, now_ns)
-        return alternative if prefers_remote else endpoint
+        if not self.may_cross_zones(request):
+            return self._choose_in(local, request, now_ns)
+        if not local.members or self.spills_over():
+            return self._choose_in(remote, request, now_ns)
+        local_endpoint = self._choose_in(local, request, now_ns)
+        remote_endpoint = self._picker.pick(remote, request, now_ns)
+        if local_endpoint is None or remote_endpoint is None:
+            return local_endpoint or remote_endpoint
+        class_index = request.class_index
+        prefers_remote = self._picker.prefers_remote(remote_endpoint, local_endpoint, class_index, now_ns)
+        return remote_endpoint if prefers_remote else local_endpoint
 
     def choose_warming(self, request: RequestState, now_ns: int) -> EndpointState | None:
         """Return an endpoint that is warming up and may get a request that admission control rejected.
@@ -61,3 +59,8 @@
         if endpoint is None and self.may_cross_zones(request):
             endpoint = self._subsets.remote.allowance.take(now_ns)
         return endpoint
+
+    def _choose_in(self, zone: ZoneSubset, request: RequestState, now_ns: int) -> EndpointState | None:
+        is_first_choice = not request.attempt_count and not request.probe
+        endpoint = zone.allowance.take(now_ns) if is_first_choice else None
+        return endpoint or self._picker.pick(zone, request, now_ns)
--- a/tests/policy/test_endpoint_picker.py
+++ b/tests/policy/test_endpoint_picker.py
@@ -67,7 +67,7 @@
 
 
 def test_fast_failing_endpoint_loses_traffic() -> None:
-    """It is never busy with our requests, so a choice by load alone would favour it."""
+    """It hardly ever has attempts in flight, so a choice by load alone would favour it."""
     harness = BalancerHarness(settings(), endpoint_count=8)
     failing = endpoint_id(1)
     picks = Counter[EndpointId]()
@@ -84,7 +84,7 @@
 
 
 def test_failing_endpoint_is_used_when_the_others_are_full() -> None:
-    """While some endpoints drain, the rest would otherwise hold all requests, and be slower for it."""
+    """While some endpoints are draining, the others would otherwise get all requests and become slower."""
     harness = BalancerHarness(settings(), endpoint_count=4)
     failing = harness.endpoint(1)
     for _ in range(40):
@@ -108,7 +108,7 @@
 
 
 def test_fast_failing_idle_endpoint_is_not_preferred_to_busy_ones() -> None:
-    """At hundreds of requests a second all others always hold some, and it is the only idle one."""
+    """At hundreds of requests a second all other endpoints are busy, and it is the only idle one."""
     harness = BalancerHarness(settings(), endpoint_count=4)
     failing = harness.endpoint(1)
     for _ in range(8):
--- a/tests/policy/test_load_probing.py
+++ b/tests/policy/test_load_probing.py
@@ -56,7 +56,7 @@
 
 
 def test_fastest_probed_endpoint_gets_the_request() -> None:
-    """The own requests in flight tell an instance of few requests nothing of how busy an endpoint is."""
+    """An instance with few requests cannot infer the load of an endpoint from its own requests in flight."""
     harness = probing_harness()
     probed = probed_endpoints(receive_request(harness))
     assert len(probed) == 2
@@ -101,13 +101,13 @@
 def test_request_that_expired_during_probing_is_rejected() -> None:
     harness = probing_harness()
     receive_request(harness)
-    harness.now_ns += 4 * SECOND_NS  # the sidecar was paused: the client has left
+    harness.now_ns += 4 * SECOND_NS  # the sidecar was paused: the client has given up
     [action] = harness.handle(PROBE_TIMER)
     assert isinstance(action, RejectRequest)
 
 
 def test_no_probing_if_a_pause_of_the_sidecar_could_outlast_the_request() -> None:
-    """A sidecar that is paused for two seconds would hold the request until its client leaves."""
+    """A sidecar that is paused for two seconds would hold the request until its client gives up."""
     harness = probing_harness()
     actions = receive_request(harness, time_left_ns=2 * SECOND_NS)
     assert not probed_endpoints(actions)
@@ -127,7 +127,7 @@
 
 
 def test_least_loaded_endpoint_gets_the_request_when_all_are_busy() -> None:
-    """The fastest of the local ones must not get all, whatever it holds, while remote ones idle."""
+    """The fastest local endpoint must not get all requests, whatever its load, while remote ones are idle."""
     harness = probing_harness()
     receive_request(harness)
     harness.update_endpoints(*(endpoint(number, zone=number % 2) for number in range(1, 5)))
--- a/tests/policy/test_outlier_detection.py
+++ b/tests/policy/test_outlier_detection.py
@@ -14,7 +14,7 @@
 
 
 def test_at_most_half_of_the_subset_is_ejected() -> None:
-    """If nearly all look bad the trouble is shared: shed, but do not eject."""
+    """If nearly all endpoints fail, they share the cause: load is shed, but no more endpoints are ejected."""
     harness = BalancerHarness(settings(max_attempts=1), endpoint_count=subset.MIN_FREE_SUBSET_SIZE)
     for _ in range(300):
         harness.now_ns += 5 * MILLISECOND_NS
@@ -46,7 +46,7 @@
             harness.now_ns += 10 * MILLISECOND_NS
             harness.record_outcome(flaky, outcome, 10 * MILLISECOND_NS)
         assert not flaky.ejection.until_ns
-    # One that fails in part fails often in a row at hundreds of requests a second.
+    # At hundreds of requests a second a partly failing endpoint often fails several times in a row.
     for _ in range(outlier_detection.FAILURES_TO_EJECT):
         harness.record_outcome(flaky, AttemptOutcome.SERVER_ERROR)
     assert not flaky.ejection.until_ns
@@ -55,7 +55,7 @@
         harness.record_outcome(flaky, AttemptOutcome.CONNECTION_RESET)
     assert flaky.ejection.until_ns > harness.now_ns
     harness.now_ns += HOUR_NS
-    flaky.ejection.end(0)  # unused since: the reset is all that is known of it
+    flaky.ejection.end(0)  # it got no requests since: only the reset is known
     harness.record_outcome(flaky, AttemptOutcome.CONNECTION_RESET)
     assert flaky.ejection.until_ns > harness.now_ns
 
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -29,7 +29,7 @@
 
 
 def test_mostly_warming_subset_keeps_to_its_capacity() -> None:
-    """After a bulk restart a share of the draws would send each endpoint several times too much."""
+    """After a bulk restart a fixed share of the requests would exceed the capacity of each endpoint."""
     attempts = Counter[int]()
     for seed in range(100):
         harness = BalancerHarness(
@@ -45,7 +45,7 @@
         )
         for _ in range(12):
             attempts[harness.serve_request()] += 1
-    fair_share = 1200 * (0.3 + 0.7 / 8) / 2  # the rest goes to the two warm ones
+    fair_share = 1200 * (0.3 + 0.7 / 8) / 2  # the rest goes to the two warm endpoints
     assert all(0 < attempts[number] < fair_share for number in range(1, 7)), attempts
     assert attempts[0] == 0  # none is rejected: the warm ones take the rest
 
@@ -63,7 +63,7 @@
 
 
 def test_allowance_is_earned_at_the_recent_rate_while_warm_endpoints_stall() -> None:
-    """By present answers alone warming ones would idle as soon as a burst keeps the warm from answering."""
+    """By present answers alone the warming endpoint would be idle while the warm ones do not answer."""
     harness = BalancerHarness(settings(), endpoint_count=8)
     for _ in range(40):
         harness.serve_requests(8)
@@ -94,7 +94,7 @@
 
 
 def test_unanswered_requests_earn_no_allowance() -> None:
-    """A share of the attempts, in a storm of retries, would be several times what warming ones can do."""
+    """In a storm of retries a share of the attempts would exceed the capacity of warming endpoints."""
     harness = BalancerHarness(
         settings(request_class(late_answer_value=0.5), max_attempts=1), endpoint_count=0
     )
--- a/tests/policy/test_subset.py
+++ b/tests/policy/test_subset.py
@@ -31,7 +31,7 @@
 
 
 def test_subset_does_not_grow_during_overload() -> None:
-    """Requests pile up then, and each new connection would only cost the endpoints more."""
+    """Requests accumulate then, and each new connection would add to the load of the endpoints."""
     harness = BalancerHarness(settings(connection_price=0.05), endpoint_count=40)
     harness.complete(harness.start_attempt())
     harness.balancer.overload.queueing_delay = 2.0
