--- a/balancer/policy/load_probing.py
+++ b/balancer/policy/load_probing.py
@@ -61,8 +61,7 @@
                 if endpoint.id not in self._waiting:
                     actions.append(StartHealthCheck(endpoint.id))
                 self._waiting.setdefault(endpoint.id, []).append(request.id)
-                probe.endpoints.append(endpoint)
-                probe.unanswered += 1
+                probe.add_endpoint(endpoint)
         if not probe.endpoints:
             return []
         request.probe = probe
@@ -81,9 +80,7 @@
         fastest_zone = self._subsets.remote if probe.fastest_is_remote else self._subsets.local
         fastest_excess_ns = probe.fastest_duration_ns - fastest_zone.fastest_probe_ns
         if duration_ns - zone.fastest_probe_ns < fastest_excess_ns:
-            probe.fastest = endpoint
-            probe.fastest_duration_ns = duration_ns
-            probe.fastest_is_remote = zone is self._subsets.remote
+            probe.set_fastest(endpoint, duration_ns, is_remote=zone is self._subsets.remote)
 
     def _draw_endpoints(self, zone: ZoneSubset, request: RequestState, now_ns: int) -> list[EndpointState]:
         """Draw idle endpoints at random, and return those of them that are expected to answer first."""
--- a/balancer/policy/probe_rounds.py
+++ b/balancer/policy/probe_rounds.py
@@ -70,7 +70,7 @@
         if request is None or request.attempt_count or request.probe is None:
             return
         probe = request.probe
-        probe.unanswered -= 1
+        probe.record_result()
         if is_healthy:
             if probe.fastest is None:
                 timer = api.SetTimer(FIRST_ANSWER_DELAY_NS, encode_probe_round(request_id))
--- a/balancer/policy/request_state.py
+++ b/balancer/policy/request_state.py
@@ -15,12 +15,29 @@
     endpoints: list[EndpointState] = field(default_factory=list)
     """The endpoints probed in all rounds."""
     rounds: int = 0
+    """Rounds that were started."""
     unanswered: int = 0
+    """Probes that have not ended."""
     fastest: EndpointState | None = None
     """The endpoint whose answer exceeded the fastest known answer of its zone by the least time."""
     fastest_duration_ns: int = 2 * HOUR_NS
     fastest_is_remote: bool = False
 
+    def add_endpoint(self, endpoint: EndpointState) -> None:
+        """Record that an endpoint is probed."""
+        self.endpoints.append(endpoint)
+        self.unanswered += 1
+
+    def record_result(self) -> None:
+        """Record that a probe ended, whatever its outcome."""
+        self.unanswered -= 1
+
+    def set_fastest(self, endpoint: EndpointState, duration_ns: int, is_remote: bool) -> None:
+        """Set the endpoint that is to get the request."""
+        self.fastest = endpoint
+        self.fastest_duration_ns = duration_ns
+        self.fastest_is_remote = is_remote
+
 
 class AttemptState:
     """The most recent attempt of a request; before the first one it has no endpoint."""
