--- a/balancer/policy/endpoint_picker.py
+++ b/balancer/policy/endpoint_picker.py
@@ -44,10 +44,7 @@
         class_index = request.class_index
         return min(
             self.candidates(zone, request, now_ns),
-            key=lambda endpoint: (
-                self.load(endpoint, class_index, now_ns),
-                self.expected_time_ns(endpoint, class_index, now_ns),
-            ),
+            key=lambda endpoint: self._load_and_expected_time(endpoint, class_index, now_ns),
             default=None,
         )
 
@@ -79,20 +76,38 @@
         An endpoint that fails quickly holds few attempts; by these alone it would get the most traffic.
         """
         failure_rate = endpoint.failure_rate.expected(class_index, now_ns)
-        excess = max(0.0, failure_rate - USUAL_FAILURE_RATE)
-        mean_time_ns = self._latency.means_ns[class_index] or self._objectives_ns[class_index]
-        return endpoint.in_flight + excess * self._failure_costs_ns[class_index] / mean_time_ns
+        return self._load(endpoint, failure_rate, class_index)
 
     def expected_time_ns(self, endpoint: EndpointState, class_index: int, now_ns: int) -> float:
         """Return the expected time of an attempt, including the cost of a failure.
 
         For an endpoint without recent answers it approaches the mean of the class.
         """
+        failure_rate = endpoint.failure_rate.expected(class_index, now_ns)
+        return self._expected_time_ns(endpoint, failure_rate, class_index, now_ns)
+
+    def _load_and_expected_time(
+        self, endpoint: EndpointState, class_index: int, now_ns: int
+    ) -> tuple[float, float]:
+        """Return what candidates are compared by."""
+        failure_rate = endpoint.failure_rate.expected(class_index, now_ns)
+        load = self._load(endpoint, failure_rate, class_index)
+        return load, self._expected_time_ns(endpoint, failure_rate, class_index, now_ns)
+
+    def _load(self, endpoint: EndpointState, failure_rate: float, class_index: int) -> float:
+        if failure_rate <= USUAL_FAILURE_RATE:
+            return endpoint.in_flight
+        excess = failure_rate - USUAL_FAILURE_RATE
+        mean_time_ns = self._latency.means_ns[class_index] or self._objectives_ns[class_index]
+        return endpoint.in_flight + excess * self._failure_costs_ns[class_index] / mean_time_ns
+
+    def _expected_time_ns(
+        self, endpoint: EndpointState, failure_rate: float, class_index: int, now_ns: int
+    ) -> float:
         mean_time_ns = self._latency.means_ns[class_index]
         latency_ratio = endpoint.latency_ratio
         if not latency_ratio.updated_at_ns:
             return mean_time_ns
-        failure_rate = endpoint.failure_rate.expected(class_index, now_ns)
         failure_time_ns = failure_rate * self._failure_costs_ns[class_index]
         return mean_time_ns * latency_ratio.expected(now_ns) + failure_time_ns
 
