--- a/balancer/policy/gossip.py
+++ b/balancer/policy/gossip.py
@@ -7,9 +7,17 @@
 from balancer.policy.overload import OverloadDetector
 from balancer.policy_api import GossipReceived, SendGossip, Settings
 
-KEPT_PART = 1 / 2  # of all sums; one sidecar is sent the other, so the fleet's mean forms within some cycles
-THRESHOLD_WEIGHT = 0.25  # of another's threshold, so that the fleet holds one and sheds smoothly
-SETTLED_CYCLES = 4  # cycles after which a sidecar's own threshold is worth sharing
+KEPT_SHARE = 1 / 2
+"""Share of all sums that a sidecar keeps; it sends the rest, so that all approach the mean of the fleet."""
+
+THRESHOLD_WEIGHT = 0.25
+"""Weight of a received threshold, so that the thresholds of the fleet converge and it sheds smoothly."""
+
+RESTARTED_THRESHOLD_WEIGHT = 1.0
+"""The same just after a start, when the own threshold says nothing."""
+
+SETTLED_CYCLES = 4
+"""Cycles after which a sidecar's own threshold is worth sharing."""
 
 
 class Gossip:
@@ -18,37 +26,60 @@
     def __init__(
         self, settings: Settings, random: Random, admission: AdmissionControl, overload: OverloadDetector
     ) -> None:
-        self._settings, self._random = settings, random
-        self._admission, self._overload = admission, overload
+        self._settings = settings
+        self._random = random
+        self._admission = admission
+        self._overload = overload
         self.cycle_count = 0
-        sizes = settings.zone_count, len(admission.keyless_arrivals), len(settings.classes)
-        self.codec = GossipCodec(*sizes, admission.max_threshold)
+        self.codec = GossipCodec(
+            zone_count=settings.zone_count,
+            business_level_count=len(admission.keyless_arrivals),
+            class_count=len(settings.classes),
+            max_threshold=admission.max_threshold,
+        )
+
+    @property
+    def _is_settled(self) -> bool:
+        """Whether the own threshold is worth sharing."""
+        return self.cycle_count >= SETTLED_CYCLES
 
     def share(self) -> list[SendGossip]:
-        """Give a part of all sums away, and return the message that carries it, if there is one."""
+        """Halve all sums, and return the message that carries the other half if there is a recipient."""
         settings = self._settings
         if not settings.gossip_enabled or settings.instance_count <= 1:
             return []
         message = self._current_message()
-        message.scale(KEPT_PART, MAX_VALUE)
-        recipient = int(self._random.random() * (settings.instance_count - 1))
-        recipient += recipient >= settings.instance_index
-        return [SendGossip(recipient, self.codec.encode(message))]
+        message.scale(KEPT_SHARE, MAX_VALUE)
+        return [SendGossip(self._draw_recipient(), self.codec.encode(message))]
 
-    def merge(self, _now: int, event: GossipReceived) -> None:
-        """Add what another sidecar shared; what no sidecar of this version sends is passed over."""
+    def merge(self, _now_ns: int, event: GossipReceived) -> None:
+        """Add what another sidecar shared; a payload that no sidecar of this version sends is ignored."""
         message = self.codec.decode(event.payload)
         if message is None:
             return
         self._current_message().add(message)
         if message.zone == self._settings.local_zone and message.admission_threshold is not None:
-            weight = THRESHOLD_WEIGHT if self.cycle_count >= SETTLED_CYCLES else 1.0  # 1: as after a restart
-            self._admission.threshold += weight * (message.admission_threshold - self._admission.threshold)
-            self.cycle_count = max(self.cycle_count, SETTLED_CYCLES)
+            self._merge_threshold(message.admission_threshold)
+
+    def _draw_recipient(self) -> int:
+        """Return the index of a random other sidecar."""
+        recipient_index = int(self._random.random() * (self._settings.instance_count - 1))
+        if recipient_index >= self._settings.instance_index:
+            recipient_index += 1
+        return recipient_index
+
+    def _merge_threshold(self, received_threshold: float) -> None:
+        """Move the own threshold towards that of another sidecar of the zone."""
+        weight = THRESHOLD_WEIGHT if self._is_settled else RESTARTED_THRESHOLD_WEIGHT
+        self._admission.threshold += weight * (received_threshold - self._admission.threshold)
+        self.cycle_count = max(self.cycle_count, SETTLED_CYCLES)
 
     def _current_message(self) -> GossipMessage:
-        """Return a message that refers to the sums themselves."""
-        admission = self._admission
-        threshold = admission.threshold if self.cycle_count >= SETTLED_CYCLES else None
-        sums = self._overload.evidence, admission.keyless_arrivals, self._overload.latency.samples
-        return GossipMessage(self._settings.local_zone, threshold, *sums)
+        """Return a message that refers to the sums themselves, so that changes of it change them."""
+        return GossipMessage(
+            zone=self._settings.local_zone,
+            admission_threshold=self._admission.threshold if self._is_settled else None,
+            queueing=self._overload.queueing.evidence,
+            keyless_arrivals=self._admission.keyless_arrivals,
+            latencies=self._overload.latency.samples,
+        )
--- /dev/null
+++ b/balancer/policy/queueing_delay.py
@@ -0,0 +1,135 @@
+"""The queueing delay at the endpoints: evidence from attempts, gathered by zone, and the estimate from it."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from typing import NamedTuple
+
+from balancer.gossip_codec import QueueingEvidence
+from balancer.policy.endpoint_state import EndpointState
+from balancer.policy.request_state import RequestState
+from balancer.policy_api import Settings
+
+MIN_COUNT = 0.5
+"""Number of samples or attempts up to which their mean is taken as unknown."""
+
+MIN_DECAY = 0.6
+"""Lower bound of the share of the evidence that is kept from cycle to cycle: a memory of about 0.6 s."""
+
+MAX_DECAY = 0.85
+"""Upper bound of that share, used while samples are few: a memory of about 1.7 s."""
+
+AMPLE_SAMPLES = 8.0
+"""Number of samples from which on the shortest memory is enough."""
+
+
+class LoadEstimate(NamedTuple):
+    """The load of a group of endpoints."""
+
+    queueing_delay: float
+    """Mean queueing delay as a share of the slack."""
+    answer_ratio: float
+    """Answers per attempt; below 1 while queues grow."""
+
+    @staticmethod
+    def of_evidence(evidence: QueueingEvidence) -> LoadEstimate:
+        """Estimate from evidence; where there is too little of it, no queueing is assumed."""
+        queueing_delay = 0.0
+        if evidence.sample_count > MIN_COUNT:
+            queueing_delay = evidence.delay_sum / evidence.sample_count
+        answer_ratio = 1.0
+        if evidence.attempt_count > MIN_COUNT:
+            answer_ratio = evidence.answer_count / evidence.attempt_count
+        return LoadEstimate(queueing_delay, answer_ratio)
+
+    def mixed_with(self, other: LoadEstimate, other_share: float) -> LoadEstimate:
+        """Return the weighted mean with another estimate."""
+        return LoadEstimate(
+            self.queueing_delay + (other.queueing_delay - self.queueing_delay) * other_share,
+            self.answer_ratio + (other.answer_ratio - self.answer_ratio) * other_share,
+        )
+
+
+class ZoneLoads(NamedTuple):
+    """Load estimates of the local zone and of all others, and for the traffic of this sidecar."""
+
+    local: LoadEstimate
+    remote: LoadEstimate
+    overall: LoadEstimate
+    """Weighted by where the attempts of this sidecar went."""
+
+
+@dataclass(slots=True)
+class AttemptCounts:
+    """The attempts of this sidecar alone; they decay like the evidence."""
+
+    total: float = 0.0
+    remote: float = 0.0
+
+    @property
+    def remote_share(self) -> float:
+        """The share of the attempts that went to another zone."""
+        return self.remote / self.total if self.total > MIN_COUNT else 0.0
+
+    def scale(self, factor: float) -> None:
+        """Multiply both counts by a factor."""
+        self.total *= factor
+        self.remote *= factor
+
+
+class QueueingDelayEstimator:
+    """Collects the evidence of queueing by zone and estimates the load from it."""
+
+    def __init__(self, settings: Settings) -> None:
+        self._local_zone = settings.local_zone
+        self.evidence = [QueueingEvidence() for _ in range(settings.zone_count)]  # shared with other sidecars
+        self.attempts = AttemptCounts()
+
+    @property
+    def sample_count(self) -> float:
+        """The number of delay samples over all zones."""
+        return sum(evidence.sample_count for evidence in self.evidence)
+
+    def record_attempt(self, zone: int) -> None:
+        """Count an attempt that starts."""
+        self.evidence[zone].attempt_count += 1
+        self.attempts.total += 1
+        self.attempts.remote += zone != self._local_zone
+
+    def discard_attempt(self, zone: int) -> None:
+        """Remove an attempt that turned out to say nothing about load."""
+        self.evidence[zone].attempt_count -= 1
+
+    def record_answer(self, zone: int) -> None:
+        """Count a successful answer."""
+        self.evidence[zone].answer_count += 1
+
+    def record_delay(self, endpoint: EndpointState, request: RequestState, delay: float) -> None:
+        """Record the queueing delay of an attempt, in place of what was recorded for it before."""
+        evidence = self.evidence[endpoint.zone]
+        evidence.delay_sum += delay - request.recorded_delay
+        evidence.sample_count += not request.recorded_delay
+        request.recorded_delay = delay
+
+    def estimate(self) -> ZoneLoads:
+        """Estimate the load of the local zone, of the other zones, and for this sidecar's traffic."""
+        local_evidence = QueueingEvidence()
+        remote_evidence = QueueingEvidence()
+        for zone, evidence in enumerate(self.evidence):
+            total = local_evidence if zone == self._local_zone else remote_evidence
+            total.add(evidence)
+        local = LoadEstimate.of_evidence(local_evidence)
+        remote = LoadEstimate.of_evidence(remote_evidence)
+        return ZoneLoads(local, remote, local.mixed_with(remote, self.attempts.remote_share))
+
+    def discount_attempts(self, shed_share: float) -> None:
+        """Count the attempts as if this share of the traffic had been shed from the beginning."""
+        for evidence in self.evidence:
+            evidence.attempt_count *= 1 - shed_share
+
+    def end_cycle(self) -> None:
+        """Let older evidence decay, the faster the more samples there are."""
+        decay = min(MAX_DECAY, max(MIN_DECAY, 1 - self.sample_count / AMPLE_SAMPLES))
+        for evidence in self.evidence:
+            evidence.scale(decay)
+        self.attempts.scale(decay)
--- /dev/null
+++ b/balancer/policy/spillover.py
@@ -0,0 +1,51 @@
+"""Cross-zone spillover: how much traffic goes to other zones while they queue less than the local one."""
+
+from balancer.policy.measurement_cycle import CYCLE_NS
+from balancer.policy.queueing_delay import ZoneLoads
+from balancer.policy_api import RequestClass, Settings
+
+SPILLOVER_STEP = 0.025
+"""Change of the ratio in a usual cycle, for a difference in delay as large as the overload threshold."""
+
+MIN_LEAD = -0.5
+"""Lower bound of the difference in delay, in overload thresholds: the ratio falls slower than it rises."""
+
+MAX_LEAD = 2.0
+"""Upper bound of the difference in delay, in overload thresholds, so that one cycle moves little traffic."""
+
+CONNECT_FAILURE_STEPS = 4
+"""Steps by which a failed connect to another zone reduces the ratio, as a share of it."""
+
+WEIGHT_SMOOTHING = 0.01
+"""Weight of a new request in the mean priority weight: a memory of about a hundred requests."""
+
+
+class CrossZoneSpillover:
+    """The ratio of requests that spill over, and which requests are worth the price of it."""
+
+    def __init__(self, settings: Settings) -> None:
+        self._cross_zone_price = settings.cross_zone_price
+        self.ratio = 0.0
+        """The probability that a request goes to another zone."""
+        weight_sum = sum(request_class.priority_weight for request_class in settings.classes)
+        self._mean_weight = weight_sum / len(settings.classes)
+
+    def record_request(self, request_class: RequestClass) -> None:
+        """Include the priority weight of an arriving request in the mean."""
+        self._mean_weight += WEIGHT_SMOOTHING * (request_class.priority_weight - self._mean_weight)
+
+    def is_worth_crossing(self, request_class: RequestClass) -> bool:
+        """Return whether a request is worth more than it costs to send it to another zone."""
+        return request_class.priority_weight > self._cross_zone_price * self._mean_weight
+
+    def record_connect_failure(self) -> None:
+        """Reduce the spillover: a zone that is cut off shows no delays and would attract ever more."""
+        self.ratio *= 1 - SPILLOVER_STEP * CONNECT_FAILURE_STEPS
+
+    def update(self, loads: ZoneLoads, overload_threshold: float, elapsed_ns: int) -> None:
+        """Move the ratio by the difference in queueing delay, in proportion to the length of the cycle."""
+        difference = loads.local.queueing_delay - loads.remote.queueing_delay
+        lead = (difference - self._cross_zone_price) / overload_threshold
+        step = SPILLOVER_STEP * elapsed_ns / CYCLE_NS
+        ratio = self.ratio + step * max(MIN_LEAD, min(MAX_LEAD, lead))
+        self.ratio = min(1.0, max(0.0, ratio))
--- a/tests/policy/test_gossip.py
+++ b/tests/policy/test_gossip.py
@@ -24,7 +24,7 @@
     assert len(message.payload) <= 256
     restarted.handle(GossipReceived(0, message.payload))
     assert restarted.threshold == pytest.approx(running.threshold)
-    assert restarted.balancer.overload.evidence[0].sample_count > 0
+    assert restarted.balancer.overload.queueing.evidence[0].sample_count > 0
 
 
 @pytest.mark.parametrize("payload", [b"", b"x" * 5, b"\xff" * 256, bytes(range(200))])
@@ -34,5 +34,5 @@
     message_bytes = harness.balancer.gossip.codec.message_bytes
     harness.handle(GossipReceived(1, (payload * 50)[:message_bytes].ljust(message_bytes, b"\xff")))
     assert 0 <= harness.threshold < 1
-    assert all(abs(value) < 1e6 for value in harness.balancer.overload.evidence[0].values())
+    assert all(abs(value) < 1e6 for value in harness.balancer.overload.queueing.evidence[0].values())
     assert isinstance(harness.request(), StartAttempt)
--- a/tests/policy/test_overload.py
+++ b/tests/policy/test_overload.py
@@ -1,17 +1,16 @@
-"""Tests of `balancer.policy.overload`: which samples move the threshold and the spillover."""
+"""Tests of `balancer.policy.overload`: which samples show overload and raise the threshold."""
 
 from __future__ import annotations
 
 import pytest
 
 from balancer.gossip_codec import QueueingEvidence
-from balancer.policy_api import AttemptOutcome, ClientDisconnected, StartAttempt
+from balancer.policy.queueing_delay import AttemptCounts
+from balancer.policy_api import AttemptOutcome, ClientDisconnected
 from balancer.time_units import MILLISECOND_NS, SECOND_NS
 from tests.builders import (
     endpoint,
     endpoint_number,
-    request_class,
-    request_received,
     settings,
     two_priority_settings,
 )
@@ -156,13 +155,12 @@
     for _ in range(40):
         harness.start_attempt()
     detector = harness.balancer.overload
-    detector.attempts = 40.0
-    detector.remote_attempts = float(remote_attempts)
-    detector.evidence = [
+    detector.queueing.attempts = AttemptCounts(total=40.0, remote=float(remote_attempts))
+    detector.queueing.evidence = [
         QueueingEvidence(delay_sum=1.0, sample_count=10.0, attempt_count=10.0, answer_count=10.0),
         QueueingEvidence(delay_sum=30.0, sample_count=30.0, attempt_count=30.0, answer_count=10.0),
     ]
-    detector.spillover_ratio = 0.0
+    detector.spillover.ratio = 0.0
     harness.balancer.adjust_load(harness.now)
     assert (harness.threshold > 0) is sheds
 
@@ -170,21 +168,21 @@
 def test_attempts_are_counted_by_zone() -> None:
     harness = two_local_and_seven_remote_endpoints()
     attempts = [harness.start_attempt() for _ in range(45)]
-    detector = harness.balancer.overload
-    assert detector.attempts == 45
-    assert detector.remote_attempts == sum(endpoint_number(attempt.endpoint_id) > 2 for attempt in attempts)
+    counts = harness.balancer.overload.queueing.attempts
+    assert counts.total == 45
+    assert counts.remote == sum(endpoint_number(attempt.endpoint_id) > 2 for attempt in attempts)
 
 
 def test_late_answers_while_queues_drain_do_not_raise_the_threshold(harness: BalancerHarness) -> None:
     """While queues drain there are more answers than attempts, and the answers to old attempts are late."""
     balancer = harness.balancer
-    balancer.overload.evidence[0] = QueueingEvidence(
+    balancer.overload.queueing.evidence[0] = QueueingEvidence(
         delay_sum=20.0, sample_count=20.0, attempt_count=10.0, answer_count=20.0
     )
     balancer.admission.keyless_arrivals[0] = 100.0
     balancer.adjust_load(harness.now)
     assert harness.threshold == 0
-    balancer.overload.evidence[0] = QueueingEvidence(
+    balancer.overload.queueing.evidence[0] = QueueingEvidence(
         delay_sum=20.0, sample_count=20.0, attempt_count=20.0, answer_count=10.0
     )
     balancer.adjust_load(harness.now)
@@ -203,45 +201,3 @@
     harness.balancer.end_cycle(harness.now)
     assert not harness.balancer.requests[at_ejected.request_id].recorded_delay
     assert harness.balancer.requests[at_other.request_id].recorded_delay
-
-
-def test_spillover_follows_the_difference_in_queueing_delay() -> None:
-    harness = BalancerHarness(
-        settings(
-            request_class(late_answer_value=0.5),
-            health_checks_enabled=True,
-            zone_count=2,
-            load_report_fields=("rif",),
-            cross_zone_price=0.1,
-        ),
-        endpoint_count=0,
-    )
-    harness.update_endpoints(*(endpoint(number, zone=number % 2) for number in range(1, 17)))
-    harness.handle(request_received(1, harness.now + 3 * SECOND_NS))
-    balancer = harness.balancer
-    balancer.overload.evidence = [
-        QueueingEvidence(delay_sum=6.0, sample_count=10.0, attempt_count=10.0, answer_count=10.0),
-        QueueingEvidence(delay_sum=0.0, sample_count=10.0, attempt_count=10.0, answer_count=10.0),
-    ]
-    balancer.adjust_load(harness.now + SECOND_NS)
-    raised_ratio = balancer.overload.spillover_ratio
-    assert 0 < raised_ratio < 0.5
-    balancer.overload.evidence = [
-        QueueingEvidence(delay_sum=1.0, sample_count=10.0, attempt_count=10.0, answer_count=10.0),
-        QueueingEvidence(delay_sum=3.0, sample_count=10.0, attempt_count=10.0, answer_count=10.0),
-    ]
-    balancer.adjust_load(harness.now + SECOND_NS)
-    assert balancer.overload.spillover_ratio < raised_ratio
-
-
-def test_remote_connect_failures_reduce_spillover() -> None:
-    """A zone that is cut off shows no delays: by the difference in delay alone it would draw ever more."""
-    harness = BalancerHarness(settings(zone_count=2), endpoint_count=0)
-    harness.update_endpoints(*(endpoint(number, zone=number % 2) for number in range(1, 17)))
-    harness.balancer.overload.spillover_ratio = 1.0
-    for _ in range(10):
-        action = harness.request()
-        if isinstance(action, StartAttempt) and endpoint_number(action.endpoint_id) % 2:
-            harness.complete(action, AttemptOutcome.CONNECT_FAILED, MILLISECOND_NS)
-            harness.handle(ClientDisconnected(action.request_id))
-    assert harness.balancer.overload.spillover_ratio < 0.6
