--- a/balancer/policy/admission.py
+++ b/balancer/policy/admission.py
@@ -1,124 +1,135 @@
-"""Admission by two priority levels, business and user, with an adaptive threshold.
+"""Admission control: an adaptive threshold below which requests are rejected, lowest priority first.
 
 Source: DAGOR, "Overload Control for Scaling WeChat Microservices", SoCC 2018, section 4. Other than there,
-what is shed follows from what the endpoints answer, and the threshold moves within levels too.
+the share of the traffic to shed follows from the answers of the endpoints, and the threshold also moves
+within levels.
 """
 
-from typing import NamedTuple
+from collections.abc import Sequence
 
-from balancer.policy.hashing import mix64
+from balancer.policy.arrival_histogram import ArrivalHistogram, LevelRange
+from balancer.policy.priority_levels import USER_LEVELS, PriorityLevels
 from balancer.policy_api import RequestReceived, Settings
-from balancer.time_units import HOUR_NS
 
-USER_LEVELS = 128  # as in DAGOR
-MIN_RAISE, MAX_RAISE = 0.05, 0.5  # share of the admitted traffic that a cycle sheds
-DRAIN = 0.25  # send this much less than endpoints finish for a delay of the whole slack, to empty queues
-MIN_LOWER, MAX_LOWER = 0.005, 0.1  # share of the arrivals that a cycle admits again; grows with the calm
-CALM_RAMP_CYCLES = 8  # and with how long that has lasted, up to so many cycles
-HISTOGRAM_DECAY, MIN_MASS = 0.9, 0.02  # share of it kept from cycle to cycle, and what of a level is dropped
-NEGLIGIBLE_MASS = 1e-9  # of arrivals; what rounding leaves counts as none
-MAX_SHED = 0.9  # never shed all: without attempts there are no samples
+MIN_RAISE = 0.05
+"""Share of the admitted traffic up to which a cycle sheds nothing more."""
 
+MAX_RAISE = 0.5
+"""Largest share of the admitted traffic that one cycle sheds."""
 
-class Arrivals(NamedTuple):
-    """What has arrived on adjacent levels."""
+DRAIN = 0.25
+"""Share by which less is sent than the endpoints finish, per slack of queueing delay, to empty queues."""
 
-    first_level: int
-    level_count: int
-    mass: float
+MAX_DRAIN_DELAY = 2.0
+"""Queueing delay, in slacks, beyond which the endpoints are not drained any faster."""
+
+MIN_LOWER = 0.005
+"""Share of the arrivals that a cycle admits again without calm: states that feed on load end only at rest."""
+
+MAX_LOWER = 0.1
+"""Share of the arrivals that a cycle admits again in lasting calm, which shows spare capacity."""
+
+CALM_RAMP_CYCLES = 8
+"""Cycles in a row without overload after which calm counts in full."""
+
+NEGLIGIBLE_MASS = 1e-9
+"""Number of arrivals that counts as none, because rounding may leave it."""
+
+MAX_SHED = 0.9
+"""Largest share of the arrivals to shed: without attempts there would be no samples of the delay."""
 
 
 class AdmissionControl:
-    """The histogram of arrivals over the levels, and the threshold below which requests are rejected."""
+    """Classifies requests and adjusts the threshold below which they are rejected."""
 
     def __init__(self, settings: Settings) -> None:
-        weights = sorted({request_class.priority_weight for request_class in settings.classes})
-        self._business_levels = [weights.index(c.priority_weight) for c in settings.classes]
-        self._instance_index, self._calm_cycles = settings.instance_index, 0
-        self.threshold, self.max_threshold = 0.0, len(weights) * USER_LEVELS
-        self.histogram: dict[int, float] = {}  # arrivals with keys, by level
-        self.keyless_arrivals = [0.0] * len(weights)  # by business level; shared with other sidecars
-
-    def classify(self, event: RequestReceived, now: int) -> float:
-        """Count an arriving request and return its level, with a position within the level as fraction."""
-        business = self._business_levels[event.class_index]
-        salt = mix64(now // HOUR_NS)  # user levels are dealt anew each hour
+        self._levels = PriorityLevels(settings)
+        self.arrivals = ArrivalHistogram(self._levels.business_level_count)
+        self.threshold = 0.0
+        """A priority: a level, with a position within it as the fraction."""
+        self.max_threshold = self._levels.business_level_count * USER_LEVELS
+        self._calm_cycles = 0
+
+    def classify(self, event: RequestReceived, now_ns: int) -> float:
+        """Count an arriving request and return its priority: a level plus the position within it."""
         if event.key_hash:
-            level = business * USER_LEVELS + mix64(event.key_hash ^ salt) % USER_LEVELS
-            self.histogram[level] = self.histogram.get(level, 0.0) + 1
-            return level + 0.5
-        # One sidecar sees few user levels of these: the fleet's mass counts as even over all.
-        self.keyless_arrivals[business] += 1
-        user = mix64(self._instance_index ^ mix64(event.tenant_index ^ salt))
-        return business * USER_LEVELS + user % USER_LEVELS + (user >> 7) / 2**57
+            level = self._levels.keyed_level(event, now_ns)
+            self.arrivals.record_keyed(level)
+            return self._levels.keyed_priority(level)
+        self.arrivals.record_keyless(self._levels.business_level(event))
+        return self._levels.keyless_priority(event, now_ns)
 
     def adjust(self, queueing_delay: float, delay_threshold: float, answer_ratio: float) -> float:
-        """Raise the threshold in overload, lower it else, and return the share of the traffic newly shed."""
+        """Raise the threshold in overload, else lower it; return the share of the traffic newly shed."""
         if queueing_delay > delay_threshold:
-            # Endpoints in arrears finish what they can: to send that, less a part to drain, is enough.
-            sustainable = answer_ratio * (1 - DRAIN * min(2.0, queueing_delay))
-            if sustainable < 1 - MIN_RAISE:
-                share = min(MAX_RAISE, 1 - sustainable)
-                self.raise_threshold(share)
-                self._calm_cycles = 0
-                return share
-        elif self.threshold > 0:
-            # Spells that feed on load end only at rest, so the first steps are small; lasting calm is room.
-            self._calm_cycles = min(self._calm_cycles + 1, CALM_RAMP_CYCLES)
-            calm = (1 - max(0.0, queueing_delay) / delay_threshold) * self._calm_cycles / CALM_RAMP_CYCLES
-            self.lower_threshold(MIN_LOWER + (MAX_LOWER - MIN_LOWER) * calm)
+            return self._shed_excess(queueing_delay, answer_ratio)
+        if self.threshold > 0:
+            self._readmit(queueing_delay, delay_threshold)
         return 0.0
 
     def end_cycle(self) -> None:
-        """Let the older arrivals fade."""
-        self.histogram = {k: mass * HISTOGRAM_DECAY for k, mass in self.histogram.items() if mass > MIN_MASS}
-        self.keyless_arrivals = [mass * HISTOGRAM_DECAY for mass in self.keyless_arrivals]
+        """Let older arrivals decay."""
+        self.arrivals.end_cycle()
 
     def raise_threshold(self, share: float) -> None:
-        """Climb until the share of what was admitted is shed."""
-        arrivals = self._arrivals_by_level()
-        admitted = sum(
-            mass * min(1.0, max(0.0, (low + count - self.threshold) / count)) for low, count, mass in arrivals
-        )
-        target = min(share * admitted, admitted - (1 - MAX_SHED) * sum(mass for _, _, mass in arrivals))
-        for first, count, mass in arrivals:
-            low = max(self.threshold, first)
-            above = mass * (first + count - low) / count
-            if above <= NEGLIGIBLE_MASS:
+        """Raise the threshold until this share of the admitted traffic is shed, within `MAX_SHED`."""
+        ranges = self.arrivals.level_ranges()
+        mass_to_shed = self._mass_to_shed(ranges, share)
+        for level_range in ranges:
+            low = max(self.threshold, level_range.first_level)
+            mass = level_range.mass_between(low, level_range.end_level)
+            if mass <= NEGLIGIBLE_MASS:
                 continue
-            if above >= target:
-                self.threshold = low + max(0.0, target) * count / mass
+            if mass >= mass_to_shed:
+                levels = max(0.0, mass_to_shed) * level_range.level_count / level_range.mass
+                self.threshold = low + levels
                 return
-            target -= above
-            self.threshold = float(first + count)
+            mass_to_shed -= mass
+            self.threshold = float(level_range.end_level)
 
     def lower_threshold(self, share: float) -> None:
-        """Descend until the share of what arrived is admitted again, by one level at least."""
-        arrivals = self._arrivals_by_level()
-        target = share * sum(mass for _, _, mass in arrivals)
-        low = max(0.0, self.threshold - 1)
-        for first, count, mass in reversed(arrivals):
-            high = min(self.threshold, first + count)
-            below = mass * (high - first) / count
-            if below <= NEGLIGIBLE_MASS:
+        """Lower the threshold until this share of the arrivals is admitted again, by at least one level."""
+        ranges = self.arrivals.level_ranges()
+        mass_to_admit = share * _total_mass(ranges)
+        one_level_lower = max(0.0, self.threshold - 1)
+        for level_range in reversed(ranges):
+            high = min(self.threshold, level_range.end_level)
+            mass = level_range.mass_between(level_range.first_level, high)
+            if mass <= NEGLIGIBLE_MASS:
                 continue
-            if below >= target:
-                self.threshold = min(low, high - target * count / mass)
+            if mass >= mass_to_admit:
+                levels = mass_to_admit * level_range.level_count / level_range.mass
+                self.threshold = min(one_level_lower, high - levels)
                 return
-            target -= below
-            self.threshold = float(first)
+            mass_to_admit -= mass
+            self.threshold = float(level_range.first_level)
         self.threshold = 0.0
 
-    def _arrivals_by_level(self) -> list[Arrivals]:
-        """Return what arrived, by level; where two entries overlapped, the threshold would move too far."""
-        by_level = dict(self.histogram)
-        keyed = {level // USER_LEVELS for level in by_level}
-        ranges = []
-        for business, mass in enumerate(self.keyless_arrivals):
-            first = business * USER_LEVELS
-            if business not in keyed:
-                ranges.append(Arrivals(first, USER_LEVELS, mass))
-            elif mass:
-                for level in range(first, first + USER_LEVELS):
-                    by_level[level] = by_level.get(level, 0.0) + mass / USER_LEVELS
-        return sorted(ranges + [Arrivals(level, 1, mass) for level, mass in by_level.items()])
+    def _shed_excess(self, queueing_delay: float, answer_ratio: float) -> float:
+        """Shed what the endpoints cannot finish, if it is more than a little; return the share of it."""
+        # Overloaded endpoints finish what they can. To send just that, less a part to drain, is enough.
+        drain_share = DRAIN * min(MAX_DRAIN_DELAY, queueing_delay)
+        sustainable_share = answer_ratio * (1 - drain_share)
+        if sustainable_share >= 1 - MIN_RAISE:
+            return 0.0
+        shed_share = min(MAX_RAISE, 1 - sustainable_share)
+        self.raise_threshold(shed_share)
+        self._calm_cycles = 0
+        return shed_share
+
+    def _readmit(self, queueing_delay: float, delay_threshold: float) -> None:
+        """Lower the threshold, the more the smaller the delay is and the longer that has lasted."""
+        self._calm_cycles = min(self._calm_cycles + 1, CALM_RAMP_CYCLES)
+        calm = 1 - max(0.0, queueing_delay) / delay_threshold
+        lasting_calm = calm * self._calm_cycles / CALM_RAMP_CYCLES
+        self.lower_threshold(MIN_LOWER + (MAX_LOWER - MIN_LOWER) * lasting_calm)
+
+    def _mass_to_shed(self, ranges: Sequence[LevelRange], share: float) -> float:
+        """Return the number of arrivals that make up a share of the admitted ones, within `MAX_SHED`."""
+        admitted = sum(level_range.mass * level_range.share_above(self.threshold) for level_range in ranges)
+        min_admitted = (1 - MAX_SHED) * _total_mass(ranges)
+        return min(share * admitted, admitted - min_admitted)
+
+
+def _total_mass(ranges: Sequence[LevelRange]) -> float:
+    return sum(level_range.mass for level_range in ranges)
--- /dev/null
+++ b/balancer/policy/arrival_histogram.py
@@ -0,0 +1,76 @@
+"""The histogram of arriving requests over the priority levels."""
+
+from typing import NamedTuple
+
+from balancer.policy.priority_levels import USER_LEVELS
+
+HISTOGRAM_DECAY = 0.9
+"""Share of the arrivals that is kept from cycle to cycle: a memory of about 2.5 s."""
+
+MIN_LEVEL_MASS = 0.02
+"""Number of arrivals at or below which a level is dropped, to bound the size of the histogram."""
+
+
+class LevelRange(NamedTuple):
+    """The arrivals on adjacent levels, evenly distributed over them."""
+
+    first_level: int
+    level_count: int
+    mass: float
+    """Number of arrivals, decayed."""
+
+    @property
+    def end_level(self) -> int:
+        """The first level after the range."""
+        return self.first_level + self.level_count
+
+    def share_above(self, threshold: float) -> float:
+        """Return the share of the arrivals whose priority is at or above a threshold."""
+        return min(1.0, max(0.0, (self.end_level - threshold) / self.level_count))
+
+    def mass_between(self, low: float, high: float) -> float:
+        """Return the number of arrivals between two priorities."""
+        return self.mass * (high - low) / self.level_count
+
+
+class ArrivalHistogram:
+    """Counts the arrivals: those with keys by level, the others by business level."""
+
+    def __init__(self, business_level_count: int) -> None:
+        self._keyed: dict[int, float] = {}
+        # One sidecar sees few user levels of requests without keys, but the fleet sees all of them evenly.
+        self.keyless = [0.0] * business_level_count  # shared with other sidecars
+
+    def record_keyed(self, level: int) -> None:
+        """Count an arrival with a key."""
+        self._keyed[level] = self._keyed.get(level, 0.0) + 1
+
+    def record_keyless(self, business_level: int) -> None:
+        """Count an arrival without a key."""
+        self.keyless[business_level] += 1
+
+    def end_cycle(self) -> None:
+        """Let older arrivals decay."""
+        self._keyed = {
+            level: mass * HISTOGRAM_DECAY for level, mass in self._keyed.items() if mass > MIN_LEVEL_MASS
+        }
+        self.keyless = [mass * HISTOGRAM_DECAY for mass in self.keyless]
+
+    def level_ranges(self) -> list[LevelRange]:
+        """Return the arrivals as ranges of levels, in order.
+
+        The ranges are disjoint: where two overlapped, a threshold that passes them one after the other would
+        move too far. Arrivals without keys are therefore distributed over single levels where there are keys.
+        """
+        mass_by_level = dict(self._keyed)
+        keyed_business_levels = {level // USER_LEVELS for level in self._keyed}
+        ranges: list[LevelRange] = []
+        for business_level, mass in enumerate(self.keyless):
+            first_level = business_level * USER_LEVELS
+            if business_level not in keyed_business_levels:
+                ranges.append(LevelRange(first_level, USER_LEVELS, mass))
+            elif mass:
+                for level in range(first_level, first_level + USER_LEVELS):
+                    mass_by_level[level] = mass_by_level.get(level, 0.0) + mass / USER_LEVELS
+        ranges += [LevelRange(level, 1, mass) for level, mass in mass_by_level.items()]
+        return sorted(ranges)
--- a/balancer/policy/gossip.py
+++ b/balancer/policy/gossip.py
@@ -33,7 +33,7 @@
         self.cycle_count = 0
         self.codec = GossipCodec(
             zone_count=settings.zone_count,
-            business_level_count=len(admission.keyless_arrivals),
+            business_level_count=len(admission.arrivals.keyless),
             class_count=len(settings.classes),
             max_threshold=admission.max_threshold,
         )
@@ -80,6 +80,6 @@
             zone=self._settings.local_zone,
             admission_threshold=self._admission.threshold if self._is_settled else None,
             queueing=self._overload.queueing.evidence,
-            keyless_arrivals=self._admission.keyless_arrivals,
+            keyless_arrivals=self._admission.arrivals.keyless,
             latencies=self._overload.latency.samples,
         )
--- /dev/null
+++ b/balancer/policy/priority_levels.py
@@ -0,0 +1,60 @@
+"""Priority levels of requests: a business level by the class, and user levels within it.
+
+Source: DAGOR, "Overload Control for Scaling WeChat Microservices", SoCC 2018, section 4.
+"""
+
+from balancer.policy.hashing import mix64
+from balancer.policy_api import RequestReceived, Settings
+from balancer.time_units import HOUR_NS
+
+USER_LEVELS = 128
+"""User levels in each business level, as in DAGOR."""
+
+_USER_LEVEL_BITS = 7
+"""Bits of a hash that give the user level; the others give the position within the level."""
+
+_POSITION_RANGE = 1 << (64 - _USER_LEVEL_BITS)
+"""Number of positions within a level."""
+
+_MIDDLE_OF_LEVEL = 0.5
+"""Position within its level of a request with a key: all requests of a key are treated alike."""
+
+
+class PriorityLevels:
+    """Assigns levels to requests. Classes of equal priority weight share a business level."""
+
+    def __init__(self, settings: Settings) -> None:
+        weights = sorted({request_class.priority_weight for request_class in settings.classes})
+        self._business_level_by_class = [
+            weights.index(request_class.priority_weight) for request_class in settings.classes
+        ]
+        self._instance_index = settings.instance_index
+        self.business_level_count = len(weights)
+
+    def business_level(self, event: RequestReceived) -> int:
+        """Return the business level of a request, from 0 for the lowest priority."""
+        return self._business_level_by_class[event.class_index]
+
+    def keyed_level(self, event: RequestReceived, now_ns: int) -> int:
+        """Return the level of a request with a key, the same in all sidecars."""
+        user_hash = mix64(event.key_hash ^ _salt(now_ns))
+        return self.business_level(event) * USER_LEVELS + user_hash % USER_LEVELS
+
+    def keyed_priority(self, level: int) -> float:
+        """Return the priority of the requests with a key that are on a level."""
+        return level + _MIDDLE_OF_LEVEL
+
+    def keyless_priority(self, event: RequestReceived, now_ns: int) -> float:
+        """Return the level of a request without a key, plus its position within the level.
+
+        All such requests of a tenant at this sidecar have the same priority; over the fleet they are spread
+        evenly.
+        """
+        user_hash = mix64(self._instance_index ^ mix64(event.tenant_index ^ _salt(now_ns)))
+        level = self.business_level(event) * USER_LEVELS + user_hash % USER_LEVELS
+        return level + (user_hash >> _USER_LEVEL_BITS) / _POSITION_RANGE
+
+
+def _salt(now_ns: int) -> int:
+    """Return the salt of the user levels: they are dealt anew each hour, so that no user is always last."""
+    return mix64(now_ns // HOUR_NS)
--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from balancer.policy import admission
+from balancer.policy import admission, priority_levels
 from balancer.policy_api import RejectRequest, StartAttempt, Tenant
 from balancer.time_units import HOUR_NS
 from tests.builders import request_received, settings, two_priority_settings
@@ -18,10 +18,10 @@
     assert isinstance(harness.request(0, key_hash=7), RejectRequest)
     harness.balancer.admission.threshold = float(level)
     assert isinstance(harness.request(0, key_hash=7), StartAttempt)
-    harness.balancer.admission.threshold = float(admission.USER_LEVELS)  # above all of the low priority
+    harness.balancer.admission.threshold = float(priority_levels.USER_LEVELS)  # above all of the low priority
     assert isinstance(harness.request(0, key_hash=7), RejectRequest)
     assert isinstance(harness.request(1, key_hash=7), StartAttempt)
-    assert 0 <= level < admission.USER_LEVELS
+    assert 0 <= level < priority_levels.USER_LEVELS
     assert position_in_level == 0.5
 
 
@@ -52,27 +52,27 @@
     harness.serve_requests(400, first_key=1000)
     harness.serve_requests(400)
     control.raise_threshold(0.25)
-    assert control.threshold == pytest.approx(0.25 * admission.USER_LEVELS, abs=4)
+    assert control.threshold == pytest.approx(0.25 * priority_levels.USER_LEVELS, abs=4)
     for _ in range(50):
         control.raise_threshold(0.5)
-    assert control.threshold == pytest.approx(admission.MAX_SHED * admission.USER_LEVELS, abs=4)
+    assert control.threshold == pytest.approx(admission.MAX_SHED * priority_levels.USER_LEVELS, abs=4)
     control.lower_threshold(0.4)
-    assert control.threshold == pytest.approx(0.5 * admission.USER_LEVELS, abs=5)
+    assert control.threshold == pytest.approx(0.5 * priority_levels.USER_LEVELS, abs=5)
 
 
 def test_lowest_priority_is_shed_first(harness: BalancerHarness) -> None:
     harness.serve_requests(50)
     harness.serve_requests(50, class_index=1)
     harness.balancer.admission.raise_threshold(0.5)
-    assert harness.threshold == pytest.approx(admission.USER_LEVELS, abs=1)
+    assert harness.threshold == pytest.approx(priority_levels.USER_LEVELS, abs=1)
 
 
 def test_threshold_never_sheds_everything(harness: BalancerHarness) -> None:
     harness.serve_requests(50, class_index=1)
     for _ in range(50):
         harness.balancer.admission.raise_threshold(0.5)
-    highest_level = 2 * admission.USER_LEVELS
-    assert harness.threshold <= highest_level - (1 - admission.MAX_SHED) * admission.USER_LEVELS + 1
+    highest_level = 2 * priority_levels.USER_LEVELS
+    assert harness.threshold <= highest_level - (1 - admission.MAX_SHED) * priority_levels.USER_LEVELS + 1
 
 
 def test_threshold_falls_by_share_of_arrivals_and_at_least_one_level(harness: BalancerHarness) -> None:
--- a/tests/policy/test_overload.py
+++ b/tests/policy/test_overload.py
@@ -179,7 +179,7 @@
     balancer.overload.queueing.evidence[0] = QueueingEvidence(
         delay_sum=20.0, sample_count=20.0, attempt_count=10.0, answer_count=20.0
     )
-    balancer.admission.keyless_arrivals[0] = 100.0
+    balancer.admission.arrivals.keyless[0] = 100.0
     balancer.adjust_load(harness.now)
     assert harness.threshold == 0
     balancer.overload.queueing.evidence[0] = QueueingEvidence(
