--- a/balancer/policy/membership.py
+++ b/balancer/policy/membership.py
@@ -1,63 +1,80 @@
-"""Membership: the endpoint list, the polling of discovery for it, and this sidecar's ranking of it."""
+"""Membership: the endpoint list as the sidecar knows it."""
 
-from math import log
 from random import Random
 
+from balancer.policy.discovery_polling import MAX_POLL_SPREAD_NS as MAX_POLL_SPREAD_NS  # noqa: PLC0414
+from balancer.policy.discovery_polling import RETRY_MIN_DELAY as RETRY_MIN_DELAY  # noqa: PLC0414
+from balancer.policy.discovery_polling import DiscoveryPolling
+from balancer.policy.endpoint_ranking import rank_endpoints
 from balancer.policy.endpoint_state import EndpointState
 from balancer.policy.hashing import mix64
-from balancer.policy_api import EndpointHealth, EndpointId, EndpointUpdate, EndpointUpdateKind, Settings
-from balancer.time_units import SECOND_NS
-
-POLL_SPREAD = 0.4  # part of the poll window over which sidecars spread their first and further calls
-MAX_POLL_SPREAD_NS = 1.5 * SECOND_NS  # a change has to be known 6 s after discovery had it
-RETRY_MIN_DELAY = 0.25  # part of the spread that passes before a call that follows a failed one
+from balancer.policy_api import (
+    Endpoint,
+    EndpointHealth,
+    EndpointId,
+    EndpointUpdate,
+    EndpointUpdateKind,
+    Settings,
+)
 
 
 class Membership:
-    """The endpoints by id, in the order in which they became known."""
+    """The endpoints by id, in the order in which they became known, and the polling for changes."""
 
     def __init__(self, settings: Settings, random: Random) -> None:
-        self._settings, self._random = settings, random
-        self._rank_salt = mix64(settings.instance_index)  # the ranking outlives a restart
-        self._is_watching, self._next_poll_ns = not settings.polls_discovery, 0
-        self.poll_spread_ns = min(MAX_POLL_SPREAD_NS, POLL_SPREAD * settings.discovery_poll_window_ns)
+        self._class_count = len(settings.classes)
+        self._last_zone = settings.zone_count - 1
+        self._rank_salt = mix64(settings.instance_index)  # so that the ranking survives a restart
+        self.polling = DiscoveryPolling(settings, random)
         self.endpoints: dict[EndpointId, EndpointState] = {}
 
-    def schedule_poll(self, now: int, min_delay: float = 0.0) -> None:
-        """Have discovery called within the spread, the first time or as a call has failed."""
-        self._is_watching = not self._settings.polls_discovery
-        delay = min_delay + (1 - min_delay) * self._random.random()
-        self._next_poll_ns = now + int(delay * self.poll_spread_ns)
-
-    def should_poll(self, now: int) -> bool:
-        """Return whether to call discovery now, and schedule a further call should no reply come."""
-        if self._is_watching or now < self._next_poll_ns:
-            return False
-        self._next_poll_ns = now + self._settings.discovery_poll_window_ns // 2
-        return True
-
     def apply(self, update: EndpointUpdate) -> None:
-        """Take over a list or its changes; removed endpoints stay until their last attempt has ended."""
-        self._is_watching |= update.kind != EndpointUpdateKind.CACHED
-        for listed in update.endpoints:
-            entry = listed._replace(zone=min(listed.zone, self._settings.zone_count - 1))  # it may be unknown
-            if entry.id in self.endpoints:
-                self.endpoints[entry.id].update(entry)
-            else:
-                self.endpoints[entry.id] = EndpointState(entry, self._rank_salt, len(self._settings.classes))
+        """Apply an endpoint list or changes of it; removed endpoints stay until their last attempt ends."""
+        if update.kind != EndpointUpdateKind.CACHED:
+            self.polling.record_reply()
+        for entry in update.endpoints:
+            self._add_or_update(entry)
         if update.kind != EndpointUpdateKind.DELTA:
-            for missing in self.endpoints.keys() - {entry.id for entry in update.endpoints}:
-                self.endpoints[missing].health = EndpointHealth.REMOVED
+            self._mark_missing_as_removed(update)
         for endpoint in list(self.endpoints.values()):
             self.drop_if_unused(endpoint)
 
     def drop_if_unused(self, endpoint: EndpointState) -> None:
-        """Forget a removed endpoint without attempts."""
+        """Forget an endpoint that is removed and has no attempts in flight."""
         if endpoint.health == EndpointHealth.REMOVED and not endpoint.in_flight:
             del self.endpoints[endpoint.id]
 
     def ranked_endpoints(self) -> list[EndpointState]:
-        """Return the ready endpoints, the preferred first: changes of the list move little of the order."""
-        # Weighted rendezvous hashing by -log(hash) / weight (Schindelhauer and Schomaker, SPAA 2005).
-        ready = [e for e in self.endpoints.values() if e.health == EndpointHealth.READY]
-        return sorted(ready, key=lambda e: (-log((e.rank_hash + 1) / 2**64) / e.weight, e.id))
+        """Return the ready endpoints, the preferred first."""
+        return rank_endpoints(self.endpoints.values())
+
+    def _add_or_update(self, listed: Endpoint) -> None:
+        """Apply an entry of the list; a zone that the settings do not know counts as the last one."""
+        entry = listed._replace(zone=min(listed.zone, self._last_zone))
+        known = self.endpoints.get(entry.id)
+        if known is None:
+            self.endpoints[entry.id] = EndpointState(entry, self._rank_salt, self._class_count)
+        else:
+            known.update(entry)
+
+    def _mark_missing_as_removed(self, update: EndpointUpdate) -> None:
+        """Mark the endpoints that a whole list no longer has."""
+        listed_ids = {entry.id for entry in update.endpoints}
+        for missing_id in self.endpoints.keys() - listed_ids:
+            self.endpoints[missing_id].health = EndpointHealth.REMOVED
+
+    # former names: begin
+    @property
+    def poll_spread_ns(self) -> float:
+        """The spread of the polls."""
+        return self.polling.spread_ns
+
+    def schedule_poll(self, now_ns: int, min_delay: float = 0.0) -> None:
+        """Schedule a poll at a random time within the spread, after at least a share of it."""
+        self.polling.schedule(now_ns, min_delay)
+
+    def should_poll(self, now_ns: int) -> bool:
+        """Return whether to poll now."""
+        return self.polling.is_due(now_ns)
+
+    # former names: end
