--- a/balancer/gossip_codec.py
+++ b/balancer/gossip_codec.py
@@ -8,14 +8,20 @@
 
 from __future__ import annotations
 
+from collections.abc import Iterator
 from dataclasses import dataclass
 from itertools import islice
 from math import inf
 from struct import Struct
 
-MAX_VALUE = 60_000.0  # a half float holds little more, and a larger number would be a fault
-MAX_MEAN_DELAY = 2.01  # delays are at most 2; the rest is for the rounding to half floats
+MAX_VALUE = 60_000.0
+"""Largest sum in a message: a half float holds little more, and a larger number would be a fault."""
+
+MAX_MEAN_DELAY = 2.01
+"""Largest mean queueing delay in slacks: a delay is at most 2, the rest is for rounding to half floats."""
+
 NO_THRESHOLD = -1.0
+"""Stands for the threshold of a sender that has none yet; thresholds are at least 0."""
 
 
 class SharedSums:
@@ -30,12 +36,14 @@
     def scale(self, factor: float, maximum: float = inf) -> None:
         """Multiply the sums by a factor, and bound them."""
         for name in self.__slots__:
-            setattr(self, name, min(getattr(self, name) * factor, maximum))
+            scaled = getattr(self, name) * factor
+            setattr(self, name, min(scaled, maximum))
 
     def add(self, other: SharedSums) -> None:
-        """Add the sums of another of the same class."""
+        """Add the sums of another object of the same class."""
         for name in self.__slots__:
-            setattr(self, name, getattr(self, name) + getattr(other, name))
+            total = getattr(self, name) + getattr(other, name)
+            setattr(self, name, total)
 
 
 @dataclass(slots=True)
@@ -63,6 +71,7 @@
     """What a sidecar shares with another."""
 
     zone: int
+    """The zone of the sender."""
     admission_threshold: float | None
     """None while the sender has no threshold of its own."""
     queueing: list[QueueingEvidence]
@@ -74,18 +83,20 @@
 
     def scale(self, factor: float, maximum: float) -> None:
         """Multiply all sums by a factor, and bound them."""
-        for sums in (*self.queueing, *self.latencies):
-            sums.scale(factor, maximum)
+        for evidence in self.queueing:
+            evidence.scale(factor, maximum)
+        for samples in self.latencies:
+            samples.scale(factor, maximum)
         self.keyless_arrivals[:] = [min(mass * factor, maximum) for mass in self.keyless_arrivals]
 
     def add(self, other: GossipMessage) -> None:
         """Add the sums of another message."""
-        for own, shared in zip(self.queueing, other.queueing, strict=True):
-            own.add(shared)
-        for own_samples, shared_samples in zip(self.latencies, other.latencies, strict=True):
-            own_samples.add(shared_samples)
-        for level, mass in enumerate(other.keyless_arrivals):
-            self.keyless_arrivals[level] += mass
+        for own_evidence, other_evidence in zip(self.queueing, other.queueing, strict=True):
+            own_evidence.add(other_evidence)
+        for own_samples, other_samples in zip(self.latencies, other.latencies, strict=True):
+            own_samples.add(other_samples)
+        for business_level, mass in enumerate(other.keyless_arrivals):
+            self.keyless_arrivals[business_level] += mass
 
 
 class GossipCodec:
@@ -111,7 +122,7 @@
         return self._layout.size
 
     def encode(self, message: GossipMessage) -> bytes:
-        """Return the bytes of a message whose values are all at most MAX_VALUE."""
+        """Return the bytes of a message whose values are all at most `MAX_VALUE`."""
         threshold = NO_THRESHOLD if message.admission_threshold is None else message.admission_threshold
         values: list[float] = []
         for evidence in message.queueing:
@@ -125,26 +136,39 @@
         """Return the message, or None if it has another length or values that no sidecar sends."""
         if len(payload) != self._layout.size:
             return None
-        zone, threshold, *numbers = self._layout.unpack(payload)
-        values = iter(numbers)
+        zone, threshold, *values = self._layout.unpack(payload)
+        if not NO_THRESHOLD <= threshold <= self._max_threshold:
+            return None
+        remaining_values = iter(values)
         message = GossipMessage(
-            zone,
-            threshold if threshold >= 0 else None,
-            [QueueingEvidence(*islice(values, 4)) for _ in range(self._zone_count)],
-            list(islice(values, self._business_level_count)),
-            [LatencySamples(*islice(values, 2)) for _ in range(self._class_count)],
+            zone=zone,
+            admission_threshold=threshold if threshold >= 0 else None,
+            queueing=[_read_evidence(remaining_values) for _ in range(self._zone_count)],
+            keyless_arrivals=list(islice(remaining_values, self._business_level_count)),
+            latencies=[_read_latency_samples(remaining_values) for _ in range(self._class_count)],
         )
-        is_valid = NO_THRESHOLD <= threshold <= self._max_threshold and _has_valid_sums(message)
-        return message if is_valid else None
+        return message if _has_valid_sums(message) else None
+
+
+def _read_evidence(values: Iterator[float]) -> QueueingEvidence:
+    """Consume the values of the queueing evidence of one zone."""
+    return QueueingEvidence(*islice(values, len(QueueingEvidence.__slots__)))
+
+
+def _read_latency_samples(values: Iterator[float]) -> LatencySamples:
+    """Consume the values of the latency samples of one class."""
+    return LatencySamples(*islice(values, len(LatencySamples.__slots__)))
 
 
 def _has_valid_sums(message: GossipMessage) -> bool:
     """Return whether all sums are in their ranges; a sum of delays may be negative."""
-    if not all(abs(e.delay_sum) <= MAX_MEAN_DELAY * e.sample_count for e in message.queueing):
-        return False
-    sums = list(message.keyless_arrivals)
     for evidence in message.queueing:
-        sums += (evidence.sample_count, evidence.attempt_count, evidence.answer_count)
+        if not abs(evidence.delay_sum) <= MAX_MEAN_DELAY * evidence.sample_count:
+            return False
+    # Not negative and not too large; comparisons with a value that is no number are false as well.
+    nonnegative_sums = list(message.keyless_arrivals)
+    for evidence in message.queueing:
+        nonnegative_sums += (evidence.sample_count, evidence.attempt_count, evidence.answer_count)
     for samples in message.latencies:
-        sums += samples.values()
-    return all(0 <= value <= MAX_VALUE for value in sums)
+        nonnegative_sums += samples.values()
+    return all(0 <= value <= MAX_VALUE for value in nonnegative_sums)
