--- /dev/null
+++ b/tests/policy/phased_servers.py
@@ -0,0 +1,129 @@
+"""The servers of a characterisation: some or all of them are in trouble for a phase, then others."""
+
+from __future__ import annotations
+
+from random import Random
+from typing import NamedTuple
+
+from balancer.policy_api import AttemptOutcome, Endpoint, EndpointHealth, EndpointId
+from balancer.time_units import MILLISECOND_NS, SECOND_NS
+from tests.builders import endpoint_id
+from tests.policy.characterization_scenarios import Phase
+
+SERVER_COUNT = 14
+AFFECTED_COUNTS = (2, 4, 8)
+"""How many servers a phase may affect."""
+HEALTH_CHECK_FAILURES = (AttemptOutcome.TIMEOUT, AttemptOutcome.REJECTED, AttemptOutcome.CONNECT_FAILED)
+PHASES_THAT_FAIL_HEALTH_CHECKS = (Phase.UNREACHABLE, Phase.SILENT, Phase.REJECTING)
+
+
+class ServerReply(NamedTuple):
+    """What becomes of an attempt or a health check, and after which time if nobody ends it before."""
+
+    outcome: AttemptOutcome
+    duration_ns: int
+
+
+NO_REPLY = ServerReply(AttemptOutcome.SUCCESS, 60 * SECOND_NS)
+"""A reply after any client has given up."""
+
+
+class PhasedServers:
+    """The servers with their entries in the endpoint list, and the phase they are in.
+
+    The results depend on the order of the random draws, which the recorded digests fix.
+    """
+
+    def __init__(self, zone_count: int, phases: tuple[Phase, ...], random: Random) -> None:
+        self._phases = phases
+        self._random = random
+        self._entry_by_number = {
+            number: _initial_entry(number, zone_count) for number in range(1, SERVER_COUNT + 1)
+        }
+        self._affected_ids: set[EndpointId] = set()
+        self.phase = Phase.CALM
+
+    @property
+    def entries(self) -> tuple[Endpoint, ...]:
+        """All entries of the endpoint list, those of removed servers as well."""
+        return tuple(self._entry_by_number.values())
+
+    @property
+    def present_entries(self) -> tuple[Endpoint, ...]:
+        """The entries of the servers that are not removed."""
+        return tuple(entry for entry in self.entries if entry.health != EndpointHealth.REMOVED)
+
+    def change_phase(self, now_ns: int) -> list[Endpoint]:
+        """Draw the next phase and the servers that it affects; return the entries that have changed."""
+        self.phase = self._random.choice(self._phases)
+        affected_numbers = self._random.sample(
+            sorted(self._entry_by_number), self._random.choice(AFFECTED_COUNTS)
+        )
+        self._affected_ids = {self._entry_by_number[number].id for number in affected_numbers}
+        changed_entries = []
+        for number, entry in self._entry_by_number.items():
+            changed = self._entry_in_phase(entry, now_ns)
+            if changed is not None:
+                self._entry_by_number[number] = changed
+                changed_entries.append(changed)
+        return changed_entries
+
+    def reply_to_attempt(self, identifier: EndpointId, class_index: int) -> ServerReply:
+        """Draw what becomes of an attempt."""
+        usual_ns = int(self._random.expovariate(1) * 30 * MILLISECOND_NS) + 5 * MILLISECOND_NS
+        if self.phase == Phase.OVERLOAD:
+            usual_ns *= 8
+            if self._random.random() < 0.3:
+                return ServerReply(AttemptOutcome.REJECTED, usual_ns // 4)
+        if identifier in self._affected_ids:
+            return self._reply_of_affected_server(class_index, usual_ns)
+        is_success = self._random.random() < 0.99
+        return ServerReply(AttemptOutcome.SUCCESS if is_success else AttemptOutcome.SERVER_ERROR, usual_ns)
+
+    def reply_to_health_check(self, identifier: EndpointId) -> ServerReply:
+        """Draw what becomes of a health check."""
+        duration_ns = self._random.randrange(1 * MILLISECOND_NS, 8 * MILLISECOND_NS)
+        if identifier in self._affected_ids and self.phase in PHASES_THAT_FAIL_HEALTH_CHECKS:
+            return ServerReply(self._random.choice(HEALTH_CHECK_FAILURES), 100 * MILLISECOND_NS)
+        return ServerReply(AttemptOutcome.SUCCESS, duration_ns)
+
+    def _entry_in_phase(self, entry: Endpoint, now_ns: int) -> Endpoint | None:
+        """Return the entry of a server as it is in the phase that begins, or None if it stays."""
+        is_affected = entry.id in self._affected_ids
+        if self.phase == Phase.DRAIN and is_affected:
+            health = self._random.choice((EndpointHealth.DRAINING, EndpointHealth.REMOVED))
+            return entry._replace(health=health)
+        restarts = self.phase == Phase.RESTART and is_affected
+        if restarts or entry.health != EndpointHealth.READY:
+            return entry._replace(started_at_ns=now_ns, health=EndpointHealth.READY)
+        return None
+
+    def _reply_of_affected_server(self, class_index: int, usual_ns: int) -> ServerReply:
+        reply_by_phase = {
+            Phase.SLOW: ServerReply(AttemptOutcome.SUCCESS, usual_ns * 6),
+            Phase.UNREACHABLE: ServerReply(AttemptOutcome.CONNECT_FAILED, 1 * MILLISECOND_NS),
+            Phase.REJECTING: ServerReply(AttemptOutcome.REJECTED, 1 * MILLISECOND_NS),
+            Phase.SILENT: NO_REPLY,
+        }
+        if self.phase in reply_by_phase:
+            return reply_by_phase[self.phase]
+        if self.phase == Phase.HANGING_CLASS and class_index == 0:
+            return NO_REPLY
+        if self.phase == Phase.ERRING and self._random.random() < 0.8:
+            return ServerReply(AttemptOutcome.SERVER_ERROR, 2 * MILLISECOND_NS)
+        if self.phase == Phase.RESETS and self._random.random() < 0.5:
+            return ServerReply(AttemptOutcome.CONNECTION_RESET, usual_ns)
+        outcomes = (*[AttemptOutcome.SUCCESS] * 3, AttemptOutcome.CLIENT_ERROR)
+        return ServerReply(self._random.choice(outcomes), usual_ns)
+
+
+def _initial_entry(number: int, zone_count: int) -> Endpoint:
+    return Endpoint(
+        id=endpoint_id(number),
+        zone=number % zone_count,
+        machine_class=0,
+        cell=number // 3,
+        health=EndpointHealth.READY,
+        weight=1.0 + number % 2,
+        started_at_ns=0,
+    )
