--- a/tests/policy/conftest.py
+++ b/tests/policy/conftest.py
@@ -7,6 +7,14 @@
 from tests.builders import two_priority_settings
 from tests.policy.harness import BalancerHarness
 
+# So that their assertions show the values compared, as those of test modules do.
+pytest.register_assert_rewrite(
+    "tests.policy.execution_invariants",
+    "tests.policy.invariant_checker",
+    "tests.policy.listed_endpoints",
+    "tests.policy.request_ledger",
+)
+
 
 @pytest.fixture
 def harness() -> BalancerHarness:
