--- a/tests/policy/test_fleet.py
+++ b/tests/policy/test_fleet.py
@@ -11,7 +11,8 @@
 
 from balancer.time_units import MILLISECOND_NS, SECOND_NS
 from tests.builders import request_class, settings
-from tests.policy.fleet_simulation import FleetSimulation, Server
+from tests.policy.fleet_servers import Server
+from tests.policy.fleet_simulation import FleetSimulation
 
 WORK_NS = 100 * MILLISECOND_NS
 KEYS = 600
