--- a/balancer/policy/admission.py
+++ b/balancer/policy/admission.py
@@ -12,7 +12,7 @@
 from balancer.policy_api import RequestReceived, Settings
 
 MIN_RAISE = 0.05
-"""Share of the admitted traffic up to which a cycle sheds nothing more."""
+"""Least share of the admitted traffic that a cycle sheds; a smaller excess does not raise the threshold."""
 
 MAX_RAISE = 0.5
 """Largest share of the admitted traffic that one cycle sheds."""
@@ -30,7 +30,7 @@
 """Share of the arrivals that a cycle admits again in lasting calm, which shows spare capacity."""
 
 CALM_RAMP_CYCLES = 8
-"""Cycles in a row without overload after which calm counts in full."""
+"""Cycles without overload since the threshold was last raised, after which calm counts in full."""
 
 NEGLIGIBLE_MASS = 1e-9
 """Number of arrivals that counts as none, because rounding may leave it."""
--- a/balancer/policy/overload.py
+++ b/balancer/policy/overload.py
@@ -1,6 +1,6 @@
 """Overload detection: whether the queueing delay at the endpoints is above an adaptive threshold.
 
-Latencies, queueing delays, the control cycle and the spillover to other zones have modules of their own.
+Latencies, queueing delays, the measurement cycle and the spillover to other zones have modules of their own.
 """
 
 from balancer.gossip_codec import QueueingEvidence
@@ -31,7 +31,7 @@
 
 
 class OverloadDetector:
-    """Gathers the evidence of a control cycle and estimates the queueing delay at its end."""
+    """Gathers the evidence of a measurement cycle and estimates the queueing delay at its end."""
 
     def __init__(self, settings: Settings) -> None:
         self.cycle = MeasurementCycle()
