--- a/balancer/policy/balancer.py
+++ b/balancer/policy/balancer.py
@@ -14,16 +14,18 @@
 from balancer.policy.attempt_dispatcher import AttemptDispatcher
 from balancer.policy.connection_budget import ConnectionBudget
 from balancer.policy.control_cycle import ControlCycle
+from balancer.policy.discovery_polling import RETRY_MIN_DELAY
 from balancer.policy.endpoint_maintenance import EndpointMaintenance
 from balancer.policy.endpoint_picker import EndpointPicker
 from balancer.policy.gossip import Gossip
 from balancer.policy.health_checks import HealthCheckHandler
 from balancer.policy.hung_attempts import HungAttempts
 from balancer.policy.load_probing import LoadProbing
-from balancer.policy.membership import RETRY_MIN_DELAY, Membership
+from balancer.policy.measurement_cycle import CYCLE_NS
+from balancer.policy.membership import Membership
 from balancer.policy.outcome_recorder import OutcomeRecorder
 from balancer.policy.outlier_detection import OutlierDetector
-from balancer.policy.overload import CYCLE_NS, OverloadDetector
+from balancer.policy.overload import OverloadDetector
 from balancer.policy.probe_rounds import ProbeRounds
 from balancer.policy.request_arrivals import RequestArrivalHandler
 from balancer.policy.request_state import RequestState
@@ -130,14 +132,14 @@
         }
 
     def _on_started(self, now_ns: int, _event: api.Started) -> None:
-        self.overload.cycle_started_at_ns = now_ns
-        self.membership.schedule_poll(now_ns)
+        self.overload.cycle.started_at_ns = now_ns
+        self.membership.polling.schedule(now_ns)
         delay_ns = 1 + int(self.random.random() * CYCLE_NS)
         self._actions.append(api.SetTimer(delay_ns, CONTROL_CYCLE_TOKEN))
 
     def _on_endpoint_update(self, now_ns: int, event: api.EndpointUpdate) -> None:
         if event.kind == api.EndpointUpdateKind.DISCOVERY_FAILED:
-            self.membership.schedule_poll(now_ns, RETRY_MIN_DELAY)
+            self.membership.polling.schedule(now_ns, RETRY_MIN_DELAY)
         else:
             self.membership.apply(event)
             self.subsets.use_ranking(self.membership.ranked_endpoints())
--- a/balancer/policy/control_cycle.py
+++ b/balancer/policy/control_cycle.py
@@ -7,7 +7,8 @@
 from balancer.policy.admission import AdmissionControl
 from balancer.policy.connection_budget import ConnectionBudget
 from balancer.policy.gossip import Gossip
-from balancer.policy.overload import MAX_ATTEMPTS_PER_CYCLE, OverloadDetector
+from balancer.policy.measurement_cycle import MAX_ATTEMPTS_PER_CYCLE
+from balancer.policy.overload import OverloadDetector
 from balancer.policy.running_attempts import RunningAttemptSampler
 from balancer.policy.subset import SubsetSelector
 
@@ -35,7 +36,7 @@
 
     def end_if_full(self, now_ns: int) -> None:
         """End the cycle when its attempts reach the limit, or a multiple of it if samples were too few."""
-        if self._overload.cycle_attempts % MAX_ATTEMPTS_PER_CYCLE == 0:
+        if self._overload.cycle.attempt_count % MAX_ATTEMPTS_PER_CYCLE == 0:
             self.end(now_ns)
 
     def end(self, now_ns: int) -> None:
--- a/balancer/policy/endpoint_maintenance.py
+++ b/balancer/policy/endpoint_maintenance.py
@@ -29,6 +29,6 @@
         to_check = self._outliers.check(self._membership.endpoints.values(), now_ns)
         actions: list[api.Action] = [api.CloseIdleConnections(endpoint_id) for endpoint_id in to_close]
         actions += [api.StartHealthCheck(endpoint_id) for endpoint_id in to_check]
-        if self._membership.should_poll(now_ns):
+        if self._membership.polling.is_due(now_ns):
             actions.append(api.WatchEndpoints(True))
         return actions
--- a/balancer/policy/endpoint_picker.py
+++ b/balancer/policy/endpoint_picker.py
@@ -4,7 +4,8 @@
 
 from balancer.policy.endpoint_state import EndpointState
 from balancer.policy.hashing import mix64
-from balancer.policy.overload import MIN_THRESHOLD, LatencyTracker
+from balancer.policy.latency_tracker import LatencyTracker
+from balancer.policy.overload import MIN_THRESHOLD
 from balancer.policy.request_state import DeduplicationBinding, RequestState
 from balancer.policy.slow_start import capacity
 from balancer.policy.subset import SubsetSelector, ZoneSubset
--- a/balancer/policy/hung_attempts.py
+++ b/balancer/policy/hung_attempts.py
@@ -3,7 +3,8 @@
 from random import Random
 
 from balancer.policy.endpoint_state import EndpointState
-from balancer.policy.overload import CYCLE_NS, OverloadDetector
+from balancer.policy.measurement_cycle import CYCLE_NS
+from balancer.policy.overload import OverloadDetector
 from balancer.policy.request_state import RequestState
 from balancer.policy.retry import RetryPolicy
 from balancer.policy_api import AttemptOutcome, Idempotency, Settings
--- a/balancer/policy/membership.py
+++ b/balancer/policy/membership.py
@@ -2,8 +2,6 @@
 
 from random import Random
 
-from balancer.policy.discovery_polling import MAX_POLL_SPREAD_NS as MAX_POLL_SPREAD_NS  # noqa: PLC0414
-from balancer.policy.discovery_polling import RETRY_MIN_DELAY as RETRY_MIN_DELAY  # noqa: PLC0414
 from balancer.policy.discovery_polling import DiscoveryPolling
 from balancer.policy.endpoint_ranking import rank_endpoints
 from balancer.policy.endpoint_state import EndpointState
@@ -62,19 +60,3 @@
         listed_ids = {entry.id for entry in update.endpoints}
         for missing_id in self.endpoints.keys() - listed_ids:
             self.endpoints[missing_id].health = EndpointHealth.REMOVED
-
-    # former names: begin
-    @property
-    def poll_spread_ns(self) -> float:
-        """The spread of the polls."""
-        return self.polling.spread_ns
-
-    def schedule_poll(self, now_ns: int, min_delay: float = 0.0) -> None:
-        """Schedule a poll at a random time within the spread, after at least a share of it."""
-        self.polling.schedule(now_ns, min_delay)
-
-    def should_poll(self, now_ns: int) -> bool:
-        """Return whether to poll now."""
-        return self.polling.is_due(now_ns)
-
-    # former names: end
--- a/balancer/policy/outcome_recorder.py
+++ b/balancer/policy/outcome_recorder.py
@@ -81,14 +81,14 @@
             endpoint.latency_ratio.record(overload.latency.record_answer(request, event.duration_ns))
             delay = min(MAX_DELAY, overload.latency.queueing_delay(request, event.duration_ns))
             overload.record_delay(endpoint, request, delay)
-            overload.evidence[endpoint.zone].answer_count += 1
+            overload.queueing.record_answer(endpoint.zone)
         elif event.outcome in OVERLOAD_OUTCOMES and not endpoint.ejection.is_active(now_ns):
             overload.record_delay(endpoint, request, FAILURE_DELAY)
         else:
             overload.discard_attempt(endpoint)
             is_remote = endpoint.zone != self._settings.local_zone
             if is_remote and event.outcome == AttemptOutcome.CONNECT_FAILED:
-                overload.record_remote_connect_failure()
+                overload.spillover.record_connect_failure()
 
     def _record_health(
         self, endpoint: EndpointState, outcome: AttemptOutcome, failed: bool, now_ns: int
--- a/balancer/policy/outlier_detection.py
+++ b/balancer/policy/outlier_detection.py
@@ -6,7 +6,7 @@
 
 from balancer.policy.endpoint_estimates import ESTIMATE_HALF_LIFE_NS
 from balancer.policy.endpoint_state import EndpointState
-from balancer.policy.overload import CYCLE_NS
+from balancer.policy.measurement_cycle import CYCLE_NS
 from balancer.policy.subset import SubsetSelector
 from balancer.policy_api import AttemptOutcome, EndpointHealth, EndpointId, Settings
 from balancer.time_units import SECOND_NS
--- a/balancer/policy/overload.py
+++ b/balancer/policy/overload.py
@@ -3,16 +3,13 @@
 Latencies, queueing delays, the measurement cycle and the spillover to other zones have modules of their own.
 """
 
-from balancer.gossip_codec import QueueingEvidence
 from balancer.policy.endpoint_state import EndpointState
-from balancer.policy.latency_tracker import LatencyTracker as LatencyTracker  # noqa: PLC0414
-from balancer.policy.measurement_cycle import CYCLE_NS as CYCLE_NS  # noqa: PLC0414
-from balancer.policy.measurement_cycle import MAX_ATTEMPTS_PER_CYCLE as MAX_ATTEMPTS_PER_CYCLE  # noqa: PLC0414
+from balancer.policy.latency_tracker import LatencyTracker
 from balancer.policy.measurement_cycle import MeasurementCycle
 from balancer.policy.queueing_delay import QueueingDelayEstimator
 from balancer.policy.request_state import RequestState
 from balancer.policy.spillover import CrossZoneSpillover
-from balancer.policy_api import RequestClass, Settings
+from balancer.policy_api import Settings
 
 MIN_SAMPLES = 3.0
 """Number of samples that an estimate needs, so that a single late answer is no overload."""
@@ -95,49 +92,6 @@
         self.queueing.end_cycle()
         self.cycle.restart(now_ns)
 
-    # former names: begin
-    @property
-    def cycle_attempts(self) -> int:
-        """The attempts of the cycle."""
-        return self.cycle.attempt_count
-
-    @property
-    def cycle_started_at_ns(self) -> int:
-        """The start of the cycle."""
-        return self.cycle.started_at_ns
-
-    @cycle_started_at_ns.setter
-    def cycle_started_at_ns(self, now_ns: int) -> None:
-        self.cycle.started_at_ns = now_ns
-
-    @property
-    def evidence(self) -> list[QueueingEvidence]:
-        """The evidence by zone."""
-        return self.queueing.evidence
-
-    @property
-    def spillover_ratio(self) -> float:
-        """The ratio of requests that spill over."""
-        return self.spillover.ratio
-
-    @spillover_ratio.setter
-    def spillover_ratio(self, ratio: float) -> None:
-        self.spillover.ratio = ratio
-
-    def record_request(self, request_class: RequestClass) -> None:
-        """Include the priority weight of an arriving request in the mean."""
-        self.spillover.record_request(request_class)
-
-    def is_worth_crossing(self, request_class: RequestClass) -> bool:
-        """Return whether a request is worth more than it costs to send it to another zone."""
-        return self.spillover.is_worth_crossing(request_class)
-
-    def record_remote_connect_failure(self) -> None:
-        """Reduce the spillover."""
-        self.spillover.record_connect_failure()
-
-    # former names: end
-
 
 def _delay_threshold(baseline_share: float) -> float:
     """Return the queueing delay that counts as overload where the baseline is this share of the slack."""
--- a/balancer/policy/request_arrivals.py
+++ b/balancer/policy/request_arrivals.py
@@ -38,7 +38,7 @@
         request_class = self._request_classes[event.class_index]
         request = RequestState(event, request_class, now_ns)
         self._requests[request.id] = request
-        self._overload.record_request(request_class)
+        self._overload.spillover.record_request(request_class)
         priority = self._admission.classify(event, now_ns)
         if event.expires_at_ns <= now_ns or self._retry.is_useless_client_retry(event, now_ns):
             self._dispatcher.give_final_answer(request, now_ns)
--- a/balancer/policy/slow_start.py
+++ b/balancer/policy/slow_start.py
@@ -3,7 +3,7 @@
 from random import Random
 
 from balancer.policy.endpoint_state import EndpointState
-from balancer.policy.overload import CYCLE_NS
+from balancer.policy.measurement_cycle import CYCLE_NS
 from balancer.policy_api import Settings
 from balancer.time_units import SECOND_NS
 
--- a/balancer/policy/zone_router.py
+++ b/balancer/policy/zone_router.py
@@ -23,11 +23,11 @@
     def may_cross_zones(self, request: RequestState) -> bool:
         """Return whether there are remote endpoints and the request is worth the price to use them."""
         has_remote = bool(self._subsets.remote.members)
-        return has_remote and self._overload.is_worth_crossing(request.request_class)
+        return has_remote and self._overload.spillover.is_worth_crossing(request.request_class)
 
     def spills_over(self) -> bool:
         """Draw whether a request that may cross zones does so, with the spillover ratio as probability."""
-        return self._random.random() < self._overload.spillover_ratio
+        return self._random.random() < self._overload.spillover.ratio
 
     def choose(self, request: RequestState, now_ns: int) -> EndpointState | None:
         """Return the endpoint for the next attempt of a request, or None if there is none.
--- a/soak/mutants.py
+++ b/soak/mutants.py
@@ -72,7 +72,7 @@
     _mutant(
         "a request that may have executed is retried only if it is idempotent",
         "balancer/policy/retry.py",
-        "is_safe = request.may_run_again or now < request.deduplicated_until_ns",
+        "is_safe = request.may_run_again or now_ns < request.deduplicated_until_ns",
         "is_safe = True",
     ),
     _mutant(
@@ -83,9 +83,9 @@
     ),
     _mutant(
         "a request with an idempotency key is retried only within its deduplication scope",
-        "balancer/policy/subset.py",
-        "            warm = [e for e in warm if e.drops_duplicates_of(bound_to, scope)]",
-        "            warm = [e for e in warm if scope is not None]",
+        "balancer/policy/endpoint_picker.py",
+        "if endpoint.drops_duplicates_of(binding.endpoint, scope)]",
+        "if scope is not None]",
     ),
     _mutant(
         "an attempt is aborted at its timeout",
@@ -95,15 +95,15 @@
     ),
     _mutant(
         "draining and removed endpoints get no requests",
-        "balancer/policy/membership.py",
-        "ready = [e for e in self.endpoints.values() if e.health == EndpointHealth.READY]",
-        "ready = list(self.endpoints.values())",
+        "balancer/policy/endpoint_ranking.py",
+        "ready = [endpoint for endpoint in endpoints if endpoint.health == EndpointHealth.READY]",
+        "ready = list(endpoints)",
     ),
     _mutant(
         "endpoints that warm up get fewer requests",
         "balancer/policy/slow_start.py",
-        "    if not endpoint.started_at_ns or age >= duration:",
-        "    if age >= 0:",
+        "    if not endpoint.started_at_ns or age_ns >= duration_ns:",
+        "    if age_ns >= 0:",
     ),
     _mutant(
         "start times follow steps of the wall clock",
--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -12,7 +12,7 @@
 
 
 def test_priority_weight_outranks_user_level(harness: BalancerHarness) -> None:
-    priority = harness.balancer.admission.classify(request_received(1, 0, key_hash=7), harness.now)
+    priority = harness.balancer.admission.classify(request_received(1, 0, key_hash=7), harness.now_ns)
     level, position_in_level = divmod(priority, 1)
     harness.balancer.admission.threshold = float(level + 1)  # just above the level of this key
     assert isinstance(harness.request(0, key_hash=7), RejectRequest)
@@ -33,8 +33,8 @@
         control = harness.balancer.admission
         return [int(control.classify(request_received(1, 0, key_hash=key), at_ns)) for key in range(1, 40)]
 
-    assert levels(one, one.now) == levels(other, other.now)
-    assert levels(one, one.now) != levels(one, one.now + HOUR_NS)
+    assert levels(one, one.now_ns) == levels(other, other.now_ns)
+    assert levels(one, one.now_ns) != levels(one, one.now_ns + HOUR_NS)
 
 
 def test_threshold_rises_by_share_of_admitted_traffic(harness: BalancerHarness) -> None:
--- a/tests/policy/test_discovery_polling.py
+++ b/tests/policy/test_discovery_polling.py
@@ -15,7 +15,7 @@
     polls: list[int] = []
     for _ in range(80):
         if actions_of(WatchEndpoints, harness.tick(0.25)):
-            polls.append(harness.now)
+            polls.append(harness.now_ns)
             harness.handle(EndpointUpdate(EndpointUpdateKind.DISCOVERY_FAILED, ()))
     gaps = [later - earlier for earlier, later in pairwise([START_NS, *polls])]
     assert len(polls) >= 3
@@ -30,5 +30,5 @@
         harness = BalancerHarness(settings(polls_discovery=True), seed=seed)
         while not actions_of(WatchEndpoints, harness.tick(0.25)):
             pass
-        first_polls.add(harness.now)
+        first_polls.add(harness.now_ns)
     assert len(first_polls) > 5
--- a/tests/policy/test_load_probing.py
+++ b/tests/policy/test_load_probing.py
@@ -131,7 +131,7 @@
     harness = probing_harness()
     receive_request(harness)
     harness.update_endpoints(*(endpoint(number, zone=number % 2) for number in range(1, 5)))
-    harness.balancer.overload.spillover_ratio = 0.0
+    harness.balancer.overload.spillover.ratio = 0.0
     attempts: list[StartAttempt] = []
     for request_id in range(2, 12):
         actions = harness.handle(request_received(request_id, harness.now_ns + 3 * SECOND_NS))
--- a/tests/policy/test_membership.py
+++ b/tests/policy/test_membership.py
@@ -31,10 +31,10 @@
     harness = BalancerHarness(settings(), endpoint_count=1)
     [target] = harness.endpoints
     harness.complete(harness.start_attempt(), AttemptOutcome.SERVER_ERROR)
-    assert target.failure_rate > 0
-    harness.update_endpoints(endpoint(1, started_at_ns=harness.now), kind=EndpointUpdateKind.DELTA)
-    assert target.failure_rate == 0
-    assert not target.last_answer_ns
+    assert target.failure_rate.overall > 0
+    harness.update_endpoints(endpoint(1, started_at_ns=harness.now_ns), kind=EndpointUpdateKind.DELTA)
+    assert target.failure_rate.overall == 0
+    assert not target.latency_ratio.updated_at_ns
 
 
 def test_endpoint_of_an_unknown_zone_is_used() -> None:
--- a/tests/policy/test_outlier_detection.py
+++ b/tests/policy/test_outlier_detection.py
@@ -98,7 +98,7 @@
     attempt = harness.start_attempt()
     request = harness.balancer.requests[attempt.request_id]
     harness.record_outcome(draining, AttemptOutcome.REJECTED, request=request)
-    assert sum(evidence.sample_count for evidence in harness.balancer.overload.evidence) == 0
+    assert sum(evidence.sample_count for evidence in harness.balancer.overload.queueing.evidence) == 0
 
 
 def test_ejected_endpoint_returns_after_successful_health_check() -> None:
--- a/tests/policy/test_overload.py
+++ b/tests/policy/test_overload.py
@@ -67,7 +67,7 @@
     harness.tick()
     if timeout_ns is None:
         timeout_ns = int(harness.balancer.overload.latency.baselines_ns[0])
-    harness.now += SECOND_NS  # past the time for which a success protects from ejection
+    harness.now_ns += SECOND_NS  # past the time for which a success protects from ejection
     attempts = [harness.start_attempt(time_left_ns=timeout_ns) for _ in range(60)]
     for attempt in attempts:
         if clients_disconnect:
@@ -83,7 +83,7 @@
     harness.tick()
     assert harness.threshold == 0
     assert not ejected
-    assert all(target.failure_rate == 0 for target in harness.endpoints)
+    assert all(target.failure_rate.overall == 0 for target in harness.endpoints)
 
 
 def test_timeouts_after_enough_time_are_overload_and_eject() -> None:
@@ -161,7 +161,7 @@
         QueueingEvidence(delay_sum=30.0, sample_count=30.0, attempt_count=30.0, answer_count=10.0),
     ]
     detector.spillover.ratio = 0.0
-    harness.balancer.adjust_load(harness.now)
+    harness.balancer.control_cycle.adjust_load(harness.now_ns)
     assert (harness.threshold > 0) is sheds
 
 
@@ -180,12 +180,12 @@
         delay_sum=20.0, sample_count=20.0, attempt_count=10.0, answer_count=20.0
     )
     balancer.admission.arrivals.keyless[0] = 100.0
-    balancer.adjust_load(harness.now)
+    balancer.control_cycle.adjust_load(harness.now_ns)
     assert harness.threshold == 0
     balancer.overload.queueing.evidence[0] = QueueingEvidence(
         delay_sum=20.0, sample_count=20.0, attempt_count=20.0, answer_count=10.0
     )
-    balancer.adjust_load(harness.now)
+    balancer.control_cycle.adjust_load(harness.now_ns)
     assert harness.threshold > 0
 
 
@@ -196,8 +196,8 @@
     harness.tick()
     at_ejected, at_other = harness.start_attempt(), harness.start_attempt()
     ejected = harness.balancer.membership.endpoints[at_ejected.endpoint_id]
-    ejected.ejected_until_ns = harness.now + 9 * SECOND_NS
-    harness.now += SECOND_NS
-    harness.balancer.end_cycle(harness.now)
+    ejected.ejection.until_ns = harness.now_ns + 9 * SECOND_NS
+    harness.now_ns += SECOND_NS
+    harness.balancer.control_cycle.end(harness.now_ns)
     assert not harness.balancer.requests[at_ejected.request_id].recorded_delay
     assert harness.balancer.requests[at_other.request_id].recorded_delay
--- a/tests/policy/test_spillover.py
+++ b/tests/policy/test_spillover.py
@@ -21,20 +21,20 @@
         endpoint_count=0,
     )
     harness.update_endpoints(*(endpoint(number, zone=number % 2) for number in range(1, 17)))
-    harness.handle(request_received(1, harness.now + 3 * SECOND_NS))
+    harness.handle(request_received(1, harness.now_ns + 3 * SECOND_NS))
     balancer = harness.balancer
     balancer.overload.queueing.evidence = [
         QueueingEvidence(delay_sum=6.0, sample_count=10.0, attempt_count=10.0, answer_count=10.0),
         QueueingEvidence(delay_sum=0.0, sample_count=10.0, attempt_count=10.0, answer_count=10.0),
     ]
-    balancer.adjust_load(harness.now + SECOND_NS)
+    balancer.control_cycle.adjust_load(harness.now_ns + SECOND_NS)
     raised_ratio = balancer.overload.spillover.ratio
     assert 0 < raised_ratio < 0.5
     balancer.overload.queueing.evidence = [
         QueueingEvidence(delay_sum=1.0, sample_count=10.0, attempt_count=10.0, answer_count=10.0),
         QueueingEvidence(delay_sum=3.0, sample_count=10.0, attempt_count=10.0, answer_count=10.0),
     ]
-    balancer.adjust_load(harness.now + SECOND_NS)
+    balancer.control_cycle.adjust_load(harness.now_ns + SECOND_NS)
     assert balancer.overload.spillover.ratio < raised_ratio
 
 
--- a/tests/policy/test_zone_router.py
+++ b/tests/policy/test_zone_router.py
@@ -33,7 +33,7 @@
     harness = BalancerHarness(settings(low, high, zone_count=2, cross_zone_price=0.4), endpoint_count=0)
     harness.update_endpoints(*(endpoint(number, zone=number % 2) for number in range(1, 17)))
     assert not any(is_remote(harness.start_attempt(1)) for _ in range(8))
-    harness.balancer.overload.spillover_ratio = 1.0
+    harness.balancer.overload.spillover.ratio = 1.0
     assert all(is_remote(harness.start_attempt(1)) for _ in range(8))
     assert not any(is_remote(harness.start_attempt(0)) for _ in range(8))  # not worth the price
 
--- a/tests/sidecar/discovery/test_client.py
+++ b/tests/sidecar/discovery/test_client.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from balancer.policy import membership
+from balancer.policy import discovery_polling
 from balancer.policy_api import EndpointUpdateKind
 from balancer.sidecar.discovery.call import (
     DiscoveryCallError,
@@ -124,7 +124,7 @@
 @pushed_and_polled
 @pytest.mark.parametrize("name", ENDINGS)
 def test_next_call_brings_the_change(name: str, polled: bool, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(membership, "MAX_POLL_SPREAD_NS", SECOND_NS // 100)
+    monkeypatch.setattr(discovery_polling, "MAX_POLL_SPREAD_NS", SECOND_NS // 100)
     ending = ENDINGS[name]
     times_out = ending.error_type is DiscoveryTimeoutError
     recorder = CallRecorder(monkeypatch, 1 if times_out else None, short_connect=ending.connect_hangs)
--- a/tests/sidecar/discovery/test_profile.py
+++ b/tests/sidecar/discovery/test_profile.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from balancer.policy import membership, overload
+from balancer.policy import discovery_polling, measurement_cycle
 from balancer.policy.balancer import Balancer
 from balancer.policy_api import WatchEndpoints
 from balancer.sidecar.discovery import profile as discovery_profile
@@ -28,7 +28,7 @@
     policy = Balancer(policy_settings(polls_discovery=polled, discovery_poll_window_ns=poll_window_ns), 1)
     if polled:
         profile = POLLED_DISCOVERY
-        pause = (policy.membership.poll_spread_ns + overload.CYCLE_NS) / SECOND_NS
+        pause = (policy.membership.polling.spread_ns + measurement_cycle.CYCLE_NS) / SECOND_NS
         immediate_retry = 0.0
     else:
         profile = PUSHED_DISCOVERY
@@ -72,12 +72,12 @@
 
 def next_watch_delay_ns(harness: BalancerHarness) -> int:
     """Advance the clock of the policy until it starts a watch, and return how long that took."""
-    start_ns = harness.now
+    start_ns = harness.now_ns
     while True:
-        actions = harness.tick(overload.CYCLE_NS / SECOND_NS / 5)
+        actions = harness.tick(measurement_cycle.CYCLE_NS / SECOND_NS / 5)
         if any(isinstance(action, WatchEndpoints) for action in actions):
-            return harness.now - start_ns
-        assert harness.now - start_ns <= membership.MAX_POLL_SPREAD_NS, "the watch is overdue"
+            return harness.now_ns - start_ns
+        assert harness.now_ns - start_ns <= discovery_polling.MAX_POLL_SPREAD_NS, "the watch is overdue"
 
 
 @pytest.mark.parametrize("poll_window_ns", [10 * SECOND_NS, 60 * SECOND_NS])
--- a/tests/sidecar/requests/test_dispatcher.py
+++ b/tests/sidecar/requests/test_dispatcher.py
@@ -226,7 +226,11 @@
             assert len(first.received_requests) + len(second.received_requests) == request_count
         states = sidecar.balancer.membership.endpoints.values()
         for state in states:
-            assert (state.failure_rate, state.consecutive_failures, state.in_flight) == (0.0, 0, 0)
+            assert (state.failure_rate.overall, state.ejection.consecutive_failures, state.in_flight) == (
+                0.0,
+                0,
+                0,
+            )
         assert len(states) == 2
 
 
--- a/tests/sidecar/upstream/test_attempt_connecting.py
+++ b/tests/sidecar/upstream/test_attempt_connecting.py
@@ -123,8 +123,8 @@
         assert not sidecar.dispatcher.is_duplicate(b"9b1f")
         # It says nothing of the endpoint, and its connection is kept.
         [state] = sidecar.balancer.membership.endpoints.values()
-        assert (state.failure_rate, state.consecutive_failures) == (0.0, 0)
-        assert (state.ejected_until_ns, state.in_flight) == (0, 0)
+        assert (state.failure_rate.overall, state.ejection.consecutive_failures) == (0.0, 0)
+        assert (state.ejection.until_ns, state.in_flight) == (0, 0)
         gate.opened.set()
         await wait_until(lambda: not upstream.background_attempts)
         [pool] = upstream.pools.values()
