--- a/benchmarks/command_line.py
+++ b/benchmarks/command_line.py
@@ -5,35 +5,45 @@
 import argparse
 import json
 import sys
-from collections.abc import Iterable, Sequence
-from dataclasses import dataclass
-from typing import NoReturn, Protocol
+from abc import ABC, abstractmethod
+from collections.abc import Callable, Sequence
+from dataclasses import asdict, dataclass
+from typing import NoReturn
 
 DEFAULT_ENTRIES = (100, 1_000, 10_000)
+"""Lengths of the endpoint list that are measured by default."""
+
 MAX_ENTRIES = 1_000_000
+"""Longest endpoint list that can be measured: every entry is an object in memory."""
 
 
 @dataclass(frozen=True, slots=True)
 class BenchmarkOptions:
-    """What a benchmark was asked to do."""
+    """The options of one run of a benchmark."""
 
     entries: tuple[int, ...]
     """Lengths of the endpoint lists to measure, in this order."""
     as_json: bool
 
 
-class Result(Protocol):
-    """The figures of one length of the endpoint list."""
+@dataclass(frozen=True, slots=True)
+class BenchmarkResult(ABC):
+    """The figures for one length of the endpoint list."""
+
+    entries: int
+    """Length of the endpoint list."""
 
+    @abstractmethod
     def to_line(self) -> str:
-        """Write the figures in one line for a reader."""
+        """Return the figures as one line of text."""
 
     def to_json(self) -> dict[str, int | float]:
-        """Give the figures by name, with the unit in the name."""
+        """Return the figures by name; each name ends in its unit."""
+        return asdict(self)
 
 
 class _OneLineParser(argparse.ArgumentParser):
-    """Says in one line what is wrong with the arguments, without the usage."""
+    """Reports invalid arguments in one line, without the usage."""
 
     def error(self, message: str) -> NoReturn:
         """Print the message and exit with status 2."""
@@ -44,12 +54,12 @@
     """Parse the arguments of a benchmark, by default those of the process.
 
     Raises:
-        SystemExit: after printing the help, or one line on what is wrong with the arguments.
+        SystemExit: after printing the help, or one line that says which argument is invalid.
     """
     parser = _OneLineParser(prog=program, description=description)
     parser.add_argument(
         "--entries",
-        type=_entry_count,
+        type=_parse_entry_count,
         nargs="+",
         metavar="N",
         default=DEFAULT_ENTRIES,
@@ -60,9 +70,10 @@
     return BenchmarkOptions(entries=tuple(parsed.entries), as_json=parsed.json)
 
 
-def print_results(results: Iterable[Result], as_json: bool) -> None:
-    """Print each result in a line as soon as it is there, or all of them as one JSON list."""
-    if as_json:
+def print_results(measure: Callable[[int], BenchmarkResult], options: BenchmarkOptions) -> None:
+    """Measure each length. Prints a line as soon as each result is known, or all results as one JSON list."""
+    results = map(measure, options.entries)
+    if options.as_json:
         json.dump([result.to_json() for result in results], sys.stdout, indent=1)
         print()
         return
@@ -70,7 +81,7 @@
         print(result.to_line(), flush=True)
 
 
-def _entry_count(text: str) -> int:
+def _parse_entry_count(text: str) -> int:
     try:
         count = int(text)
     except ValueError:
--- a/benchmarks/control_cost.py
+++ b/benchmarks/control_cost.py
@@ -1,6 +1,6 @@
 """Measures what discovery costs one real sidecar process that serves no requests.
 
-For each length of the endpoint list, with a stand-in for discovery's agent: the time from start to ready,
+For each length of the endpoint list, with a stand-in for the discovery agent: the time from start to ready,
 RSS, the share of a core while nothing changes and at one change a second, calls and bytes a second of the
 agent while nothing changes, and the CPU time for a burst in which one endpoint of 19 begins to drain.
 """
@@ -11,31 +11,49 @@
 import signal
 import sys
 import time
-from collections.abc import Iterator, Sequence
-from dataclasses import asdict, dataclass
+from collections.abc import Sequence
+from dataclasses import dataclass
 
-from benchmarks.command_line import parse_options, print_results
+from benchmarks.command_line import BenchmarkResult, parse_options, print_results
 from benchmarks.discovery_stand_in import DiscoveryStandIn
 from benchmarks.errors import BenchmarkError
 from benchmarks.sidecar_process import SidecarProcess
+from benchmarks.topology import ZONE_COUNT
+
+PROGRAM = "control_cost"
 
 SETTLING_SECONDS = 2.0
+"""Pause after the start, so that the work of the start is not counted as idle usage."""
+
 IDLE_SECONDS = 10.0
-CHANGES = 10
+"""How long idle usage is measured: long enough for processor time in steps of 10 ms."""
+
+CHANGE_COUNT = 10
+"""Number of single changes of the endpoint list."""
+
 CHANGE_INTERVAL_SECONDS = 1.0
-BURST_DIVISOR = 19
+"""Time between two single changes."""
+
+BURST_DIVISOR = ZONE_COUNT
+"""A burst drains one endpoint in this many: as many endpoints as a zone has."""
+
 BURST_INTERVAL_SECONDS = 0.002
+"""Time between two changes of a burst, so that they come in several deltas."""
+
 BURST_SETTLING_SECONDS = 2.0
+"""Pause after a burst, in which the sidecar receives and handles the last deltas."""
 
 EXIT_FAILURE = 1
+"""Exit status if the sidecar does not start or ends early."""
+
 EXIT_INTERRUPTED = 130
+"""Exit status after SIGINT or SIGTERM, as shells report an interrupted program."""
 
 
 @dataclass(frozen=True, slots=True)
-class ControlCost:
-    """The figures for one length of the endpoint list; CPU shares are of one core."""
+class ControlCost(BenchmarkResult):
+    """Cost of discovery for one length of the endpoint list; shares of processor time are of one core."""
 
-    entries: int
     ready_seconds: float
     rss_megabytes: float
     idle_cpu_share: float
@@ -47,7 +65,7 @@
     burst_cpu_seconds: float
 
     def to_line(self) -> str:
-        """Write the figures in one line."""
+        """Return the figures as one line of text."""
         return (
             f"n={self.entries:6d} ready {self.ready_seconds:5.2f} s  RSS {self.rss_megabytes:5.1f} MB"
             f"  idle {self.idle_cpu_share * 100:5.2f}% of a core"
@@ -56,14 +74,10 @@
             f"  burst of {self.burst_drains} drains: {self.burst_cpu_seconds:.2f} CPU s"
         )
 
-    def to_json(self) -> dict[str, int | float]:
-        """Give the figures by name."""
-        return asdict(self)
-
 
 @dataclass(frozen=True, slots=True)
 class IdleUsage:
-    """What a sidecar takes while nothing changes."""
+    """What a sidecar uses while the endpoint list does not change; the share is of one core."""
 
     cpu_share: float
     agent_bytes_per_second: float
@@ -71,7 +85,11 @@
 
 
 async def measure(entries: int) -> ControlCost:
-    """Run a sidecar with an endpoint list of this length; raises BenchmarkError if it fails to run."""
+    """Measure a sidecar with an endpoint list of this length.
+
+    Raises:
+        BenchmarkError: the sidecar did not start, or ended while it was measured.
+    """
     async with DiscoveryStandIn(entries) as discovery:
         started = time.monotonic()
         async with SidecarProcess(discovery.port) as sidecar:
@@ -95,26 +113,25 @@
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
-    """Run the benchmark; returns the exit code."""
-    options = parse_options("control_cost", __doc__.partition("\n")[0], arguments)
+    """Run the benchmark. Returns the exit status."""
+    options = parse_options(PROGRAM, __doc__.partition("\n")[0], arguments)
     try:
-        print_results(_measure_all(options.entries), options.as_json)
+        print_results(_run_until_terminated, options)
     except BenchmarkError as error:
-        print(f"control_cost: {error}", file=sys.stderr)
+        print(f"{PROGRAM}: {error}", file=sys.stderr)
         return EXIT_FAILURE
     except (KeyboardInterrupt, asyncio.CancelledError):
-        print("control_cost: interrupted", file=sys.stderr)
+        print(f"{PROGRAM}: interrupted", file=sys.stderr)
         return EXIT_INTERRUPTED
     return 0
 
 
-def _measure_all(entries: Sequence[int]) -> Iterator[ControlCost]:
-    for count in entries:
-        yield asyncio.run(_measure_until_terminated(count))
+def _run_until_terminated(entries: int) -> ControlCost:
+    return asyncio.run(_measure_until_terminated(entries))
 
 
 async def _measure_until_terminated(entries: int) -> ControlCost:
-    """Measure; SIGTERM ends the sidecar as well, as SIGINT does through asyncio."""
+    """Measure; on SIGTERM the sidecar is ended as well, as it is on SIGINT by `asyncio.run`."""
     task = asyncio.current_task()
     if task is not None:
         asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, task.cancel)
@@ -136,21 +153,21 @@
 
 
 async def _measure_changes(sidecar: SidecarProcess, discovery: DiscoveryStandIn, entries: int) -> float:
-    """The share of a core at one change a second."""
+    """Return the share of a core that is used at one change a second."""
     cpu_before = sidecar.cpu_seconds()
-    for index in range(CHANGES):
+    for index in range(CHANGE_COUNT):
         await discovery.set_health(index % entries, "draining")
         await asyncio.sleep(CHANGE_INTERVAL_SECONDS)
-    return (sidecar.cpu_seconds() - cpu_before) / (CHANGES * CHANGE_INTERVAL_SECONDS)
+    return (sidecar.cpu_seconds() - cpu_before) / (CHANGE_COUNT * CHANGE_INTERVAL_SECONDS)
 
 
 async def _measure_burst(
     sidecar: SidecarProcess, discovery: DiscoveryStandIn, entries: int, drains: int
 ) -> float:
-    """CPU seconds until the drains of endpoints that no earlier change touched are in."""
+    """Return the processor time, in seconds, for a burst of drains of endpoints that are still ready."""
     cpu_before = sidecar.cpu_seconds()
     for drain in range(drains):
-        await discovery.set_health((CHANGES + drain) % entries, "draining")
+        await discovery.set_health((CHANGE_COUNT + drain) % entries, "draining")
         await asyncio.sleep(BURST_INTERVAL_SECONDS)
     await asyncio.sleep(BURST_SETTLING_SECONDS)
     return sidecar.cpu_seconds() - cpu_before
--- a/benchmarks/discovery_stand_in.py
+++ b/benchmarks/discovery_stand_in.py
@@ -1,7 +1,7 @@
-"""Stands in for the discovery agent of a sidecar: an HTTP/1.1 server with an endpoint list that can change.
+"""A stand-in for the discovery agent: an HTTP/1.1 server with an endpoint list that can be changed.
 
-`GET /discovery/hosts` answers with a snapshot. With `?from=VERSION&hold_ms=MILLISECONDS` it is a watch: the
-answer is a delta with all changes after that version, which comes once there are any or the hold is over.
+`GET /discovery/hosts` is answered with a snapshot. With `?from=VERSION&hold_ms=MILLISECONDS` it is a watch,
+which is answered with a delta of all changes after that version, once there are any or the hold is over.
 """
 
 from __future__ import annotations
@@ -14,28 +14,30 @@
 from typing import Self, TypeAlias
 from urllib.parse import parse_qs, urlsplit
 
+from benchmarks.topology import CELL_COUNT, ZONE_COUNT
+
 HostJson: TypeAlias = dict[str, str | int | float]
+"""An entry of the endpoint list, in the form that discovery sends."""
 
-ZONES = 19
-CELLS = 500
 _HEAD_LIMIT_BYTES = 1 << 20
+"""Longest head of a call; the heads of a sidecar are far shorter."""
 
 
 @dataclass(frozen=True, slots=True)
 class TransferTotals:
-    """What has gone through the agent so far."""
+    """Traffic of the agent so far."""
 
     calls: int
     bytes_transferred: int
-    """Requests and answers, with their headers."""
+    """Requests and responses, with their headers."""
 
 
 class MalformedCallError(Exception):
-    """A request is no call that discovery knows."""
+    """A request is not a call of the discovery protocol."""
 
 
 class DiscoveryStandIn:
-    """Serves an endpoint list on a free port of 127.0.0.1, as an async context manager."""
+    """A discovery agent on a free port of 127.0.0.1, as an asynchronous context manager."""
 
     def __init__(self, host_count: int) -> None:
         self._host_count = host_count
@@ -59,7 +61,7 @@
         exception: BaseException | None,
         traceback: TracebackType | None,
     ) -> None:
-        """Stop to listen and end all connections."""
+        """Stop listening and close all connections."""
         if self._server is None:
             return
         self._server.close()
@@ -70,19 +72,19 @@
 
     @property
     def port(self) -> int:
-        """The port that was free."""
+        """The port at which the agent listens."""
         if self._server is None:
-            raise RuntimeError("the agent does not listen yet")
+            raise RuntimeError("the agent is not listening yet")
         port: int = self._server.sockets[0].getsockname()[1]
         return port
 
     @property
     def totals(self) -> TransferTotals:
-        """What has gone through so far."""
+        """Traffic so far."""
         return TransferTotals(self._calls, self._bytes_transferred)
 
     async def set_health(self, index: int, health: str) -> None:
-        """Change the health of a host, and let the watches know."""
+        """Change the health of an endpoint, and notify the open watches."""
         async with self._changed:
             self._version += 1
             self._health_by_index[index] = health
@@ -90,7 +92,7 @@
             self._changed.notify_all()
 
     def _accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        # The task is made here, as the server's own would report its cancellation as an error.
+        # A task that the server made itself would report its cancellation as an error.
         task = asyncio.create_task(self._serve_connection(reader, writer))
         self._connections.add(task)
         task.add_done_callback(self._connections.discard)
@@ -99,7 +101,7 @@
         try:
             await self._answer_calls(reader, writer)
         except (asyncio.IncompleteReadError, asyncio.LimitOverrunError, ConnectionError, MalformedCallError):
-            pass  # the sidecar has left, or does not speak the protocol: either way this connection ends
+            pass  # the sidecar closed the connection or broke the protocol; the connection ends either way
         finally:
             writer.close()
             with contextlib.suppress(ConnectionError):
@@ -137,25 +139,25 @@
         hosts = [
             host_entry(index, self._health_by_index.get(index, "up")) for index in range(self._host_count)
         ]
-        return self._encode_list(hosts, whole=True)
+        return self._encode_list(hosts, is_snapshot=True)
 
     def _encode_delta(self, since_version: int) -> bytes:
         hosts = [self._changes[version] for version in range(since_version + 1, self._version + 1)]
-        return self._encode_list(hosts, whole=False)
+        return self._encode_list(hosts, is_snapshot=False)
 
-    def _encode_list(self, hosts: list[HostJson], *, whole: bool) -> bytes:
-        answer = {"seq": self._version, "whole": whole, "hosts": hosts}
+    def _encode_list(self, hosts: list[HostJson], *, is_snapshot: bool) -> bytes:
+        answer = {"seq": self._version, "whole": is_snapshot, "hosts": hosts}
         return json.dumps(answer, separators=(",", ":")).encode()
 
 
 def host_entry(index: int, health: str = "up") -> HostJson:
-    """An entry of the endpoint list in discovery's form; each index has a loopback address of its own."""
+    """Return an entry of the endpoint list; each index has a loopback address of its own."""
     return {
         "host": f"s-{index:08x}",
         "dial": f"127.{index // 60_000 + 1}.{index // 250 % 240}.{index % 250 + 1}:8080",
-        "site": f"z{index % ZONES}",
+        "site": f"z{index % ZONE_COUNT}",
         "class": "k",
-        "block": index % CELLS,
+        "block": index % CELL_COUNT,
         "health": health,
         "share": 1.0,
         "born_ms": 0,
@@ -163,7 +165,7 @@
 
 
 def _parse_target(head: bytes) -> str:
-    """Take the target out of a request line (RFC 9112, section 3)."""
+    """Return the target of the request line (RFC 9112, section 3)."""
     request_line, _end, _headers = head.partition(b"\r\n")
     try:
         _method, target, _version = request_line.split(b" ")
--- a/benchmarks/errors.py
+++ b/benchmarks/errors.py
@@ -1,10 +1,10 @@
-"""Why a benchmark could not be measured."""
+"""Errors of the benchmarks."""
 
 from __future__ import annotations
 
 
 class BenchmarkError(Exception):
-    """Base class of the errors of the benchmarks; each says what went wrong in one plain line."""
+    """Base class of the errors of the benchmarks; each has a message of one line."""
 
 
 class SidecarNotReadyError(BenchmarkError):
--- a/benchmarks/membership_cost.py
+++ b/benchmarks/membership_cost.py
@@ -1,6 +1,6 @@
 """Measures what the length of the endpoint list costs the decisions, in CPU time and in memory.
 
-For each length, with a real `Balancer` and no network: the time to take in a snapshot, a delta of one entry
+For each length, with a real `Balancer` and no network: the time to handle a snapshot, a delta of one entry
 and a timer, the time of one request with its completion, and the memory that the balancer holds.
 """
 
@@ -11,8 +11,8 @@
 import sys
 import time
 import tracemalloc
-from collections.abc import Callable, Iterator, Sequence
-from dataclasses import asdict, dataclass
+from collections.abc import Callable, Sequence
+from dataclasses import dataclass
 
 from balancer.policy.balancer import Balancer
 from balancer.policy_api import (
@@ -30,29 +30,54 @@
     Started,
     TimerFired,
 )
-from benchmarks.command_line import parse_options, print_results
+from balancer.time_units import MILLISECOND_NS
+from benchmarks.command_line import BenchmarkResult, parse_options, print_results
+from benchmarks.topology import CELL_COUNT, ZONE_COUNT
+
+PROGRAM = "membership_cost"
+
+LATENCY_OBJECTIVE_NS = 500 * MILLISECOND_NS
+"""Latency objective of the only request class."""
 
-MILLISECOND_NS = 1_000_000
 CLIENT_TIMEOUT_NS = 2_500 * MILLISECOND_NS
+"""Client timeout of the only request class."""
+
 ATTEMPT_DURATION_NS = 20 * MILLISECOND_NS
+"""Time that each attempt takes, by the clock of the events."""
+
 EVENT_INTERVAL_NS = MILLISECOND_NS
+"""Time between two events, by their clock."""
+
+SLOW_START_DURATION_NS = 8_000 * MILLISECOND_NS
+"""How long endpoints warm up."""
 
-ZONES = 19
-CELLS = 500
 RANDOM_SEED = 1
+"""Seed of the balancer, the same in every run, so that runs take the same decisions."""
+
+ROUND_COUNT = 3
+"""Number of rounds for each figure, of which the fastest counts."""
 
-ROUNDS = 3
 SNAPSHOTS_PER_ROUND = 3
+"""Few, as the time of a snapshot grows with the endpoint list."""
+
 DELTAS_PER_ROUND = 20
+"""Number of deltas in a round."""
+
 TIMERS_PER_ROUND = 20
+"""Number of timer events in a round."""
+
 REQUESTS_PER_ROUND = 200
+"""Many, as a single request takes too little time to be measured by itself."""
+
+MICROSECONDS_PER_SECOND = 1e6
+KIBIBYTES_PER_MEBIBYTE = 1024
+BYTES_PER_MEGABYTE = 1e6
 
 
 @dataclass(frozen=True, slots=True)
-class MembershipCost:
-    """The figures for one length of the endpoint list; times are for one event."""
+class MembershipCost(BenchmarkResult):
+    """Cost of the decisions for one length of the endpoint list; times are those of one event."""
 
-    entries: int
     snapshot_microseconds: float
     delta_microseconds: float
     timer_microseconds: float
@@ -60,25 +85,21 @@
     held_bytes: int
     held_bytes_per_entry: float
     peak_rss_megabytes: float
-    """Of this process so far, so of the longest list yet."""
+    """Of the whole process so far, and so of the longest endpoint list up to here."""
 
     def to_line(self) -> str:
-        """Write the figures in one line."""
+        """Return the figures as one line of text."""
         return (
             f"n={self.entries:6d} full {self.snapshot_microseconds:9.0f}us"
             f"  delta of one {self.delta_microseconds:9.0f}us"
             f"  tick {self.timer_microseconds:7.0f}us"
             f"  request {self.request_microseconds:6.0f}us"
-            f"  held {self.held_bytes / 1e6:6.2f} MB ({self.held_bytes_per_entry:.0f} B/entry)"
+            f"  held {self.held_bytes / BYTES_PER_MEGABYTE:6.2f} MB ({self.held_bytes_per_entry:.0f} B/entry)"
         )
 
-    def to_json(self) -> dict[str, int | float]:
-        """Give the figures by name."""
-        return asdict(self)
-
 
 class MembershipBenchmark:
-    """A `Balancer` whose endpoint list has a given length, and the clock of its events."""
+    """A `Balancer` with an endpoint list of a given length, and the clock of its events."""
 
     def __init__(self, entries: int) -> None:
         self._entries = entries
@@ -94,11 +115,11 @@
             tracemalloc.stop()
 
     def measure(self) -> MembershipCost:
-        """Take all the figures."""
+        """Measure all figures."""
         return MembershipCost(
             entries=self._entries,
-            snapshot_microseconds=_fastest_mean_microseconds(self._take_snapshot, SNAPSHOTS_PER_ROUND),
-            delta_microseconds=_fastest_mean_microseconds(self._take_delta, DELTAS_PER_ROUND),
+            snapshot_microseconds=_fastest_mean_microseconds(self._handle_snapshot, SNAPSHOTS_PER_ROUND),
+            delta_microseconds=_fastest_mean_microseconds(self._handle_delta, DELTAS_PER_ROUND),
             timer_microseconds=_fastest_mean_microseconds(self._fire_timer, TIMERS_PER_ROUND),
             request_microseconds=_fastest_mean_microseconds(self._serve_request, REQUESTS_PER_ROUND),
             held_bytes=self.held_bytes,
@@ -110,11 +131,11 @@
         endpoints = tuple(_endpoint(index) for index in range(self._entries))
         return EndpointUpdate(EndpointUpdateKind.SNAPSHOT, endpoints)
 
-    def _take_snapshot(self, _iteration: int) -> None:
-        # Building the entries belongs to it: they are new objects in each list that discovery sends.
+    def _handle_snapshot(self, _iteration: int) -> None:
+        # The time includes building the entries: each list that discovery sends is parsed into new objects.
         self._handle(self._snapshot())
 
-    def _take_delta(self, iteration: int) -> None:
+    def _handle_delta(self, iteration: int) -> None:
         health = EndpointHealth.DRAINING if iteration % 2 else EndpointHealth.READY
         changed = _endpoint(iteration % self._entries, health)
         self._handle(EndpointUpdate(EndpointUpdateKind.DELTA, (changed,)))
@@ -145,55 +166,54 @@
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
-    """Run the benchmark; returns the exit code."""
-    options = parse_options("membership_cost", __doc__.partition("\n")[0], arguments)
-    print_results(_measure_all(options.entries), options.as_json)
+    """Run the benchmark. Returns the exit status."""
+    options = parse_options(PROGRAM, __doc__.partition("\n")[0], arguments)
+    print_results(_measure, options)
     if not options.as_json:
         print("RSS MB", _peak_rss_megabytes())
     return 0
 
 
-def _measure_all(entries: Sequence[int]) -> Iterator[MembershipCost]:
-    for count in entries:
-        yield MembershipBenchmark(count).measure()
+def _measure(entries: int) -> MembershipCost:
+    return MembershipBenchmark(entries).measure()
 
 
 def _fastest_mean_microseconds(operation: Callable[[int], None], iterations: int) -> float:
-    """Time of one call: the least of the means of `ROUNDS` rounds, as other programs only ever add to it."""
+    """Return the mean time of one call in the fastest round, as other programs can only add to that time."""
     fastest_seconds = float("inf")
-    for _ in range(ROUNDS):
+    for _ in range(ROUND_COUNT):
         started = time.perf_counter()
         for iteration in range(iterations):
             operation(iteration)
         fastest_seconds = min(fastest_seconds, (time.perf_counter() - started) / iterations)
-    return fastest_seconds * 1e6
+    return fastest_seconds * MICROSECONDS_PER_SECOND
 
 
 def _settings(instance_count: int) -> Settings:
     request_class = RequestClass(
         name="read",
-        latency_objective_ns=500 * MILLISECOND_NS,
+        latency_objective_ns=LATENCY_OBJECTIVE_NS,
         client_timeout_ns=CLIENT_TIMEOUT_NS,
         priority_weight=3.0,
     )
     return Settings(
         classes=(request_class,),
         instance_count=instance_count,
-        zone_count=ZONES,
+        zone_count=ZONE_COUNT,
         health_checks_enabled=True,
         handshake_price=0.06,
         connection_price=0.06,
         slow_start_capacity=0.4,
-        slow_start_duration_ns=8_000 * MILLISECOND_NS,
+        slow_start_duration_ns=SLOW_START_DURATION_NS,
     )
 
 
 def _endpoint(index: int, health: EndpointHealth = EndpointHealth.READY) -> Endpoint:
     return Endpoint(
         id=index.to_bytes(6, "little"),
-        zone=index % ZONES,
+        zone=index % ZONE_COUNT,
         machine_class=0,
-        cell=index % CELLS,
+        cell=index % CELL_COUNT,
         health=health,
         weight=1.0,
         started_at_ns=0,
@@ -213,7 +233,7 @@
 
 
 def _peak_rss_megabytes() -> float:
-    return resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024
+    return resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / KIBIBYTES_PER_MEBIBYTE
 
 
 if __name__ == "__main__":
--- a/benchmarks/sidecar_process.py
+++ b/benchmarks/sidecar_process.py
@@ -1,4 +1,4 @@
-"""Runs one real sidecar as a process of its own, told of a discovery agent on this machine."""
+"""Run one sidecar as a process of its own, with a discovery agent on this machine."""
 
 from __future__ import annotations
 
@@ -14,18 +14,22 @@
 from types import TracebackType
 from typing import Self
 
-from benchmarks.discovery_stand_in import ZONES
 from benchmarks.errors import SidecarExitedError, SidecarNotReadyError
 from benchmarks.process_usage import read_cpu_seconds, read_resident_megabytes
+from benchmarks.topology import ZONE_COUNT
 
 REPOSITORY_ROOT = Path(__file__).parent.parent
 READY_TIMEOUT_SECONDS = 30.0
+"""How long a sidecar may take to become ready, on a slow machine and with the longest endpoint list."""
+
 READY_POLL_SECONDS = 0.02
+"""Pause between two readiness checks, and so the error of the measured time to ready."""
+
 STOP_TIMEOUT_SECONDS = 10.0
+"""How long a sidecar may take to end after SIGTERM before it is killed."""
 
-# As in the real configuration, in the names and units of the simulator's wire.
 SETTINGS = {
-    "Azs": [f"z{zone}" for zone in range(ZONES)],
+    "Azs": [f"z{zone}" for zone in range(ZONE_COUNT)],
     "Kinds": ["k"],
     "Categories": [
         {
@@ -46,10 +50,11 @@
     "Discovery": "pushed",
     "NInstances": 10_000,
 }
+"""Settings as in a real deployment, in the names and units of the settings' JSON."""
 
 
 class SidecarProcess:
-    """A sidecar that starts with an empty endpoint list, as an async context manager."""
+    """A sidecar that starts with an empty endpoint list, as an asynchronous context manager."""
 
     def __init__(self, discovery_port: int) -> None:
         self._discovery_port = discovery_port
@@ -58,7 +63,7 @@
         self._process: asyncio.subprocess.Process | None = None
 
     async def __aenter__(self) -> Self:
-        """Start the process; it need not be ready yet."""
+        """Start the process, without waiting until it is ready."""
         async with contextlib.AsyncExitStack() as cleanup:
             directory = cleanup.enter_context(tempfile.TemporaryDirectory(prefix="balancer-benchmark-"))
             file = Path(directory) / "config.json"
@@ -80,15 +85,15 @@
         exception: BaseException | None,
         traceback: TracebackType | None,
     ) -> None:
-        """End the process and remove its configuration."""
+        """Stop the process and remove its configuration file."""
         await self._cleanup.aclose()
 
     async def wait_until_ready(self) -> None:
-        """Wait until it answers its readiness check.
+        """Wait until the sidecar passes its readiness check.
 
         Raises:
-            SidecarNotReadyError: it does not, for `READY_TIMEOUT_SECONDS`.
-            SidecarExitedError: it ended.
+            SidecarNotReadyError: it is not ready after `READY_TIMEOUT_SECONDS`.
+            SidecarExitedError: it has exited.
         """
         deadline = time.monotonic() + READY_TIMEOUT_SECONDS
         while not await self._is_ready():
@@ -98,7 +103,7 @@
             await asyncio.sleep(READY_POLL_SECONDS)
 
     def cpu_seconds(self) -> float:
-        """CPU time so far; raises SidecarExitedError if it ended."""
+        """Return the processor time so far; raises SidecarExitedError if the process has exited."""
         process_id = self._running_process_id()
         try:
             return read_cpu_seconds(process_id)
@@ -106,7 +111,7 @@
             raise SidecarExitedError(None) from None
 
     def resident_megabytes(self) -> float:
-        """Memory in RAM now; raises SidecarExitedError if it ended."""
+        """Return the resident set size in MiB; raises SidecarExitedError if the process has exited."""
         process_id = self._running_process_id()
         try:
             return read_resident_megabytes(process_id)
@@ -148,14 +153,14 @@
 
 
 async def _stop(process: asyncio.subprocess.Process) -> None:
-    """End the process: first with SIGTERM, and with SIGKILL if it stays or if the wait is cancelled."""
+    """Stop the process with SIGTERM, and with SIGKILL if it does not exit or if the wait is cancelled."""
     with contextlib.suppress(ProcessLookupError):
         process.terminate()
     try:
         async with asyncio.timeout(STOP_TIMEOUT_SECONDS):
             await process.wait()
     except TimeoutError:
-        pass  # it is killed below
+        pass  # the process is killed below
     finally:
         with contextlib.suppress(ProcessLookupError):
             process.kill()
@@ -163,7 +168,7 @@
 
 
 def _free_port() -> int:
-    """A port that was free a moment ago; the sidecar cannot tell which one it was given for port 0."""
+    """Return a port that was free a moment ago; a sidecar cannot report which port it got for port 0."""
     with socket.socket() as probe:
         probe.bind(("127.0.0.1", 0))
         port: int = probe.getsockname()[1]
--- a/tests/benchmarks/__init__.py
+++ b/tests/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the benchmarks: their command line, their results, and the servers that they run."""
+"""Tests of the benchmarks: their command line, their results, and the processes that they run."""
--- a/tests/benchmarks/runner.py
+++ b/tests/benchmarks/runner.py
@@ -1,4 +1,4 @@
-"""Runs asynchronous tests on the event loop of the standard library, as the benchmarks do."""
+"""Run asynchronous tests on the event loop of the standard library, which the benchmarks use."""
 
 from __future__ import annotations
 
@@ -7,8 +7,11 @@
 
 from benchmarks.discovery_stand_in import DiscoveryStandIn
 
-TEST_TIMEOUT_SECONDS = 20.0  # a hang fails the test; no test passes or fails by a shorter time
+TEST_TIMEOUT_SECONDS = 20.0
+"""A test that hangs fails after this time; no test passes or fails because of a shorter one."""
+
 HOST_COUNT = 3
+"""Length of the endpoint list of the discovery agent."""
 
 
 def run(test: Callable[[], Awaitable[None]]) -> None:
@@ -22,7 +25,7 @@
 
 
 def run_with_discovery(test: Callable[[DiscoveryStandIn], Awaitable[None]]) -> None:
-    """Run a test with a discovery agent that lists three hosts; raises TimeoutError if it hangs."""
+    """Run a test with a discovery agent; raises TimeoutError if it hangs."""
 
     async def run_in_context() -> None:
         async with DiscoveryStandIn(HOST_COUNT) as discovery:
--- a/tests/benchmarks/test_command_line.py
+++ b/tests/benchmarks/test_command_line.py
@@ -1,4 +1,4 @@
-"""The command line that the benchmarks share."""
+"""Tests of the command line that the benchmarks share."""
 
 from __future__ import annotations
 
--- a/tests/benchmarks/test_control_cost.py
+++ b/tests/benchmarks/test_control_cost.py
@@ -1,4 +1,4 @@
-"""The benchmark of a sidecar's discovery traffic: the form of its results."""
+"""Tests of the form in which the benchmark of discovery reports its results."""
 
 from __future__ import annotations
 
--- a/tests/benchmarks/test_discovery_stand_in.py
+++ b/tests/benchmarks/test_discovery_stand_in.py
@@ -1,4 +1,4 @@
-"""The discovery agent that a benchmark runs: snapshots, watches and the end of its connections."""
+"""Tests of the stand-in for the discovery agent: snapshots, watches and the end of its connections."""
 
 from __future__ import annotations
 
@@ -10,13 +10,14 @@
 from balancer.policy_api import EndpointHealth
 from balancer.sidecar.discovery.endpoint_list import EndpointListUpdate, NameIndices, parse_endpoint_list
 from benchmarks.discovery_stand_in import DiscoveryStandIn
-from tests.benchmarks.runner import run, run_with_discovery
+from tests.benchmarks.runner import HOST_COUNT, run, run_with_discovery
 
 LONG_HOLD_MS = 60_000
+"""Longer than any test may take."""
 
 
 class AgentClient:
-    """A connection to the agent that reads its lists as a sidecar does."""
+    """A connection to the agent, which parses endpoint lists as a sidecar does."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self._reader = reader
@@ -50,7 +51,7 @@
         client = await connect(discovery)
         snapshot = await client.fetch()
         assert (snapshot.version, snapshot.is_snapshot) == (1, True)
-        assert len({entry.address for entry in snapshot.endpoints}) == 3
+        assert len({entry.address for entry in snapshot.endpoints}) == HOST_COUNT
         watch = asyncio.create_task(client.fetch(f"?from=1&hold_ms={LONG_HOLD_MS}"))
         await discovery.set_health(2, "draining")
         delta = await watch
@@ -80,7 +81,7 @@
 
 def test_open_watch_ends_without_an_error_when_the_agent_stops(caplog: pytest.LogCaptureFixture) -> None:
     async def test() -> None:
-        async with DiscoveryStandIn(3) as discovery:
+        async with DiscoveryStandIn(HOST_COUNT) as discovery:
             client = await connect(discovery)
             client.send_calls("", f"?from=1&hold_ms={LONG_HOLD_MS}")
             assert (await client.read_update()).is_snapshot
--- a/tests/benchmarks/test_membership_cost.py
+++ b/tests/benchmarks/test_membership_cost.py
@@ -1,4 +1,4 @@
-"""The benchmark of the policy's endpoint list: the form of its results."""
+"""Tests of the form in which the benchmark of the endpoint list reports its results."""
 
 from __future__ import annotations
 
--- /dev/null
+++ b/tests/sidecar/scripted_endpoint.py
@@ -0,0 +1,106 @@
+"""HTTP/1.1 servers on loopback that answer each request by a script."""
+
+from __future__ import annotations
+
+import asyncio
+import contextlib
+import socket
+from collections.abc import AsyncIterator, Awaitable, Callable
+from typing import TypeAlias
+
+from tests.sidecar.messages import ok_response, parse_headers
+
+
+Script: TypeAlias = Callable[["ReceivedRequest"], Awaitable[bytes | None]]
+"""Returns the response to a request as it goes on the wire; None closes the connection without one."""
+
+
+class ReceivedRequest:
+    """A request as an endpoint or discovery received it."""
+
+    def __init__(self, request_line: bytes, headers: dict[bytes, bytes], body: bytes) -> None:
+        self.request_line = request_line
+        self.headers = headers
+        self.body = body
+        self.connection_closed = asyncio.Event()
+        """Set when the sidecar closes the connection before it has a response."""
+
+
+class ScriptedEndpoint:
+    """An HTTP server that answers each request by its script."""
+
+    def __init__(self, script: Script) -> None:
+        self.script = script
+        self.received_requests: list[ReceivedRequest] = []
+        self.request_arrived = asyncio.Event()
+        """Set once any request has arrived."""
+        self.connection_count = 0
+        """How many connections were accepted so far."""
+        self.address = ""
+        """Host and port, set once it listens."""
+
+    async def serve_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Answer requests until either side ends the connection."""
+        self.connection_count += 1
+        with contextlib.suppress(ConnectionError, asyncio.IncompleteReadError):
+            while await self._serve_request(reader, writer):
+                pass
+        writer.close()
+
+    async def _serve_request(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> bool:
+        """Answer one request, and return whether the connection stays open."""
+        request = await self._read_request(reader)
+        answering = asyncio.ensure_future(self.script(request))
+        closing = asyncio.ensure_future(reader.read(1))
+        await asyncio.wait((answering, closing), return_when=asyncio.FIRST_COMPLETED)
+        if not answering.done():
+            request.connection_closed.set()
+            answering.cancel()
+            return False
+        closing.cancel()
+        await asyncio.wait((closing,))
+        response = answering.result()
+        if response is None:
+            return False
+        writer.write(response)
+        await writer.drain()
+        return True
+
+    async def _read_request(self, reader: asyncio.StreamReader) -> ReceivedRequest:
+        request_line, *header_lines = (await reader.readuntil(b"\r\n\r\n")).split(b"\r\n")
+        headers = parse_headers(header_lines)
+        body = await reader.readexactly(int(headers.get(b"content-length", 0)))
+        request = ReceivedRequest(request_line, headers, body)
+        self.received_requests.append(request)
+        self.request_arrived.set()
+        return request
+
+
+@contextlib.asynccontextmanager
+async def run_endpoint(script: Script) -> AsyncIterator[ScriptedEndpoint]:
+    """Run an endpoint on a port of its own."""
+    endpoint = ScriptedEndpoint(script)
+    server = await asyncio.start_server(endpoint.serve_connection, "127.0.0.1", 0)
+    endpoint.address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
+    try:
+        yield endpoint
+    finally:
+        server.close()
+
+
+async def answer_ok(request: ReceivedRequest) -> bytes:
+    """Script: answer at once, with the body of the request."""
+    return ok_response(request.body or b"done")
+
+
+async def never_answer(_request: ReceivedRequest) -> bytes:
+    """Script: leave the request unanswered."""
+    await asyncio.Event().wait()
+    return b""
+
+
+def unreachable_address() -> str:
+    """Return an address where nothing listens: its port was bound a moment ago and never listened on."""
+    with socket.socket() as bound:
+        bound.bind(("127.0.0.1", 0))
+        return f"127.0.0.1:{bound.getsockname()[1]}"
