--- a/balancer/simulator/__init__.py
+++ b/balancer/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""Runs the decisions of many sidecars on the binary wire of the simulator."""
+"""The adapter that connects the decisions of many sidecars to the simulator, over its binary protocol."""
--- a/balancer/simulator/__main__.py
+++ b/balancer/simulator/__main__.py
@@ -8,10 +8,11 @@
 from balancer.simulator.errors import WireFormatError
 
 EXIT_MALFORMED_INPUT = 2
+"""Exit status if the input breaks the simulator's protocol."""
 
 
 def main() -> int:
-    """Serve until the input ends; returns the exit code."""
+    """Answer batches until the input ends. Returns the exit status."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except WireFormatError as error:
--- a/balancer/simulator/action_encoder.py
+++ b/balancer/simulator/action_encoder.py
@@ -1,4 +1,4 @@
-"""Encodes the actions of the decisions as action records of the simulator's wire."""
+"""Encode the actions of the decisions as action records of the simulator's wire."""
 
 from __future__ import annotations
 
@@ -24,16 +24,19 @@
 from balancer.simulator.record_codes import ActionCode
 
 ActionT = TypeVar("ActionT", bound=Action)
-ActionWriter: TypeAlias = Callable[[int, ActionT], bytes]
-"""Encodes one type of action of the instance with this number."""
+ActionEncoder: TypeAlias = Callable[[int, ActionT], bytes]
+"""A function that encodes one type of action of the instance with this number."""
 
-MAX_TEXT_BYTES = 60_000  # of a line for the report, so that its length fits into two bytes
-_RECIPIENT_MASK = 0xFFFF  # turns -1, for all sidecars, into all bits set
+MAX_TEXT_BYTES = 60_000
+"""Longest text of a log line or a failure, in bytes; its length has to fit into two bytes."""
+
+_RECIPIENT_MASK = 0xFFFF
+"""Turns the recipient -1, which stands for all sidecars, into a field of two bytes with all bits set."""
 
 
 def _packer(code: ActionCode, field_formats: str) -> Callable[..., bytes]:
-    """Make a function that packs the instance and the fields, in the formats of `struct`, after the code."""
-    # The code is fixed here as a plain int: looking it up and converting it takes longer than packing.
+    """Return a function that packs the record code, the instance and fields of these `struct` formats."""
+    # The code is bound as a plain int, as converting a member of an enum takes longer than the packing.
     return partial(Struct(f"<BH{field_formats}").pack, code.value)
 
 
@@ -52,12 +55,12 @@
 
 
 def encode_action(instance: int, action: Action) -> bytes:
-    """Encode one action of an instance."""
-    return _WRITERS[type(action)](instance, action)
+    """Encode one action of an instance as a record."""
+    return _ENCODERS[type(action)](instance, action)
 
 
 def encode_failure(instance: int, description: str) -> bytes:
-    """Encode that the decisions of an instance have failed, which ends the simulated day."""
+    """Encode a report that the decisions of an instance have failed, which ends the simulated scenario."""
     text = _encode_text(description)
     return _pack_report_failure(instance, len(text)) + text
 
@@ -113,25 +116,25 @@
     return text.encode("utf-8", "replace")[:MAX_TEXT_BYTES]
 
 
-def _writer_of(
-    action_type: type[ActionT], writer: ActionWriter[ActionT]
-) -> tuple[type[object], ActionWriter[Action]]:
-    """Pair a type of action with its writer, which is only ever called with actions of this type."""
-    return action_type, cast("ActionWriter[Action]", writer)
+def _entry(
+    action_type: type[ActionT], encoder: ActionEncoder[ActionT]
+) -> tuple[type[object], ActionEncoder[Action]]:
+    """Pair a type of action with its encoder, which is only ever called with actions of this type."""
+    return action_type, cast("ActionEncoder[Action]", encoder)
 
 
-_WRITERS = dict(
+_ENCODERS = dict(
     (
-        _writer_of(StartAttempt, _encode_start_attempt),
-        _writer_of(RejectRequest, _encode_reject_request),
-        _writer_of(FailRequest, _encode_fail_request),
-        _writer_of(CancelAttempt, _encode_cancel_attempt),
-        _writer_of(SetTimer, _encode_set_timer),
-        _writer_of(StartHealthCheck, _encode_start_health_check),
-        _writer_of(CloseIdleConnections, _encode_close_idle_connections),
-        _writer_of(SendGossip, _encode_send_gossip),
-        _writer_of(WriteLog, _encode_write_log),
-        _writer_of(WatchEndpoints, _encode_watch_endpoints),
-        _writer_of(FetchEndpoints, _encode_fetch_endpoints),
+        _entry(StartAttempt, _encode_start_attempt),
+        _entry(RejectRequest, _encode_reject_request),
+        _entry(FailRequest, _encode_fail_request),
+        _entry(CancelAttempt, _encode_cancel_attempt),
+        _entry(SetTimer, _encode_set_timer),
+        _entry(StartHealthCheck, _encode_start_health_check),
+        _entry(CloseIdleConnections, _encode_close_idle_connections),
+        _entry(SendGossip, _encode_send_gossip),
+        _entry(WriteLog, _encode_write_log),
+        _entry(WatchEndpoints, _encode_watch_endpoints),
+        _entry(FetchEndpoints, _encode_fetch_endpoints),
     )
 )
--- a/balancer/simulator/adapter.py
+++ b/balancer/simulator/adapter.py
@@ -1,4 +1,4 @@
-"""Hosts the decisions of many sidecars on the simulator's wire. It decides nothing itself."""
+"""Run the decisions of many sidecars on the simulator's wire; the adapter takes no decisions itself."""
 
 from __future__ import annotations
 
@@ -13,24 +13,26 @@
 
 
 class InstanceHost:
-    """The sidecars that run in this process, by number."""
+    """The simulated sidecars of this process, by the number of the instance."""
 
     def __init__(self) -> None:
         self._decoder = EventDecoder()
         self._balancers: dict[int, Balancer] = {}
 
     def handle_batch(self, batch: Batch) -> list[bytes]:
-        """Handle the events of a batch in order; returns the records of the reply.
+        """Handle the events of a batch in order. Returns the records of the reply.
 
         Raises:
-            WireFormatError: the wire does not allow what is in the batch.
+            WireFormatError: the batch breaks the simulator's protocol.
         """
         reply: list[bytes] = []
         for instance, event in self._decoder.decode(batch.records, batch.record_count):
             try:
                 actions = self._handle(instance, batch.now_ns, event)
                 reply.extend(encode_action(instance, action) for action in actions)
-            except Exception as failure:  # any failure of the decisions ends the day, with its cause
+            except (
+                Exception
+            ) as failure:  # the simulator has to get any failure of the decisions, with its cause
                 self._balancers.pop(instance, None)
                 reply.append(encode_failure(instance, f"{type(failure).__name__}: {failure}"))
         return reply
@@ -43,7 +45,7 @@
             return []
         balancer = self._balancers.get(instance)
         if balancer is None:
-            return []  # the instance was never started, or has failed
+            return []  # the instance has never been started, or has failed
         return balancer.handle(now_ns, event)
 
     def _start_instance(self, instance: int, now_ns: int, event: InstanceStarted) -> list[Action]:
@@ -57,7 +59,7 @@
     """Answer batches until the input ends.
 
     Raises:
-        WireFormatError: the wire does not allow what was read; the batch at fault gets no reply.
+        WireFormatError: the input breaks the simulator's protocol; the batch at fault gets no reply.
     """
     host = InstanceHost()
     while (batch := read_batch(source)) is not None:
--- a/balancer/simulator/errors.py
+++ b/balancer/simulator/errors.py
@@ -1,4 +1,4 @@
-"""What can be wrong with the bytes that arrive on the simulator's wire."""
+"""Errors for malformed input on the simulator's wire."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class WireFormatError(ProtocolError):
-    """The simulator sent something that its wire does not allow."""
+    """The simulator sent bytes that its protocol does not allow."""
 
 
 class TruncatedFrameError(WireFormatError):
@@ -22,7 +22,7 @@
 
 
 class FrameLengthError(WireFormatError):
-    """A frame claims to be shorter than its own header."""
+    """The length in the header of a frame is less than that of the header."""
 
     def __init__(self, frame_bytes: int) -> None:
         super().__init__(f"impossible frame length {frame_bytes}")
@@ -30,7 +30,7 @@
 
 
 class MissingRecordError(WireFormatError):
-    """A frame ended before the number of records that its header announces."""
+    """A frame holds fewer records than its header announces."""
 
     def __init__(self, announced_records: int, decoded_records: int) -> None:
         super().__init__("truncated frame: a record is missing")
@@ -39,7 +39,7 @@
 
 
 class TruncatedRecordError(WireFormatError):
-    """A frame ended inside the fixed fields or the numbers of a record."""
+    """A frame ended inside the fixed fields or the floats of a record."""
 
     def __init__(self, record_code: int) -> None:
         super().__init__(f"truncated record of code {record_code}")
@@ -47,7 +47,7 @@
 
 
 class RecordOverrunError(WireFormatError):
-    """The byte string of a record is longer than the rest of its frame."""
+    """The byte string of a record extends past the end of its frame."""
 
     def __init__(self, expected_bytes: int, remaining_bytes: int) -> None:
         super().__init__("truncated frame: a record runs past its end")
@@ -56,7 +56,7 @@
 
 
 class TruncatedEndpointListError(WireFormatError):
-    """An endpoint list announces more entries than the rest of its frame can hold."""
+    """An endpoint list announces more entries than the rest of its frame holds."""
 
     def __init__(self, list_number: int, entry_count: int) -> None:
         super().__init__("truncated pool")
@@ -65,7 +65,7 @@
 
 
 class TrailingBytesError(WireFormatError):
-    """A frame goes on after its last record."""
+    """A frame has bytes after its last record."""
 
     def __init__(self, remaining_bytes: int) -> None:
         super().__init__(f"{remaining_bytes} bytes left after the last record")
@@ -73,9 +73,10 @@
 
 
 class UnknownCodeError(WireFormatError):
-    """A field holds a number that the wire does not define; each such field has its own subclass."""
+    """A field holds a code that the protocol does not define; each such field has its own subclass."""
 
     message_format: ClassVar[str] = "unknown code {code}"
+    """The message, with a placeholder for the code."""
 
     def __init__(self, code: int) -> None:
         super().__init__(self.message_format.format(code=code))
@@ -83,31 +84,31 @@
 
 
 class UnknownRecordCodeError(UnknownCodeError):
-    """No event has this record code."""
+    """A record has a code that stands for no event."""
 
     message_format = "unknown record code {code}"
 
 
 class UnknownOutcomeCodeError(UnknownCodeError):
-    """An attempt or a health check ended with an undefined outcome."""
+    """The outcome of an attempt or a health check is undefined."""
 
     message_format = "unknown outcome code {code}"
 
 
 class UnknownUpdateKindError(UnknownCodeError):
-    """An endpoint update is of an undefined kind."""
+    """The kind of an endpoint update is undefined."""
 
     message_format = "unknown list kind {code}"
 
 
 class UnknownHealthCodeError(UnknownCodeError):
-    """An entry of an endpoint list has an undefined health."""
+    """The health of an entry of an endpoint list is undefined."""
 
     message_format = "unknown health {code} in a pool"
 
 
 class UndefinedEndpointListError(WireFormatError):
-    """An endpoint update refers to a list that no earlier record defined."""
+    """An endpoint update refers to an endpoint list that no earlier record defined."""
 
     def __init__(self, list_number: int) -> None:
         super().__init__(f"list {list_number} was never defined")
--- a/balancer/simulator/event_decoder.py
+++ b/balancer/simulator/event_decoder.py
@@ -1,4 +1,4 @@
-"""Decodes the event records of the simulator's wire into the events of the decisions."""
+"""Decode the event records of the simulator's wire into the events of the decisions."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
 
 @dataclass(frozen=True, slots=True)
 class InstanceStarted:
-    """An instance begins. Its settings are still text: what is wrong in them is that instance's failure."""
+    """An instance was started. Its settings are not parsed yet, as invalid ones are its own failure."""
 
     random_seed: int
     settings_json: bytes
@@ -55,49 +55,53 @@
 
 @dataclass(frozen=True, slots=True)
 class InstanceStopped:
-    """An instance was killed: whatever it held is void."""
+    """An instance was killed, and its state is lost."""
 
 
 HostedEvent: TypeAlias = InstanceStarted | InstanceStopped | Event
-"""What happens to an instance: an event of its decisions, or its start or end."""
+"""An event of an instance: one of its decisions, or its start or end."""
 
-# A plain tuple, as one is made for every event of a simulated day.
+# A plain tuple, as one is created for every event and a class would cost more time.
 InstanceEvent: TypeAlias = tuple[int, HostedEvent]
-"""The number of an instance, and what happened to it."""
+"""The number of an instance, and its event."""
 
 FixedFields: TypeAlias = tuple[int, *tuple[int | bytes, ...]]
-"""The fixed fields of any record; the first is the number of the instance, or that of an endpoint list."""
+"""The fixed fields of a record; the first is the number of the instance, or that of an endpoint list."""
+
 FieldsT = TypeVar("FieldsT", bound=tuple[int, *tuple[int | bytes, ...]])
 
 
 class RecordType:
-    """A type of event record: the layout of its fixed fields, and how they become an event."""
+    """A type of event record: the layout of its fixed fields, and how an event is built from them."""
 
     __slots__ = ("build_event", "fixed_bytes", "unpack_from")
 
     def __init__(
         self, field_formats: str, build_event: Callable[[FieldsT, RecordReader], HostedEvent | None]
     ) -> None:
-        """Take the formats of `struct` for the fields after the code, and the types they have in Python.
+        """Create the type.
 
-        `build_event` gets the fixed fields and a reader of what follows them. It returns None for a record
-        that is no event.
+        Args:
+            field_formats: The formats of `struct` of the fixed fields, which follow the record code.
+            build_event: Called with the fixed fields and a reader of the bytes after them. Returns None for a
+                record that is no event.
         """
-        layout = struct.Struct(f"<x{field_formats}")  # the code has been looked at already
+        layout = struct.Struct(f"<x{field_formats}")  # the record code has been read by the caller
         self.fixed_bytes = layout.size
         self.unpack_from: Callable[[bytes, int], FixedFields] = layout.unpack_from
         self.build_event = cast("Callable[[FixedFields, RecordReader], HostedEvent | None]", build_event)
 
 
-_LIST_ENTRY = struct.Struct("<6sBHHBfQ")  # in the order of the fields of `Endpoint`
+_LIST_ENTRY = struct.Struct("<6sBHHBfQ")
+"""An entry of an endpoint list, with the fields of `Endpoint` in their order."""
 
 
 class EventDecoder:
-    """Decodes batches. Holds the numbered endpoint lists, which all instances of the process share."""
+    """Decodes batches, and stores the numbered endpoint lists that all instances of the process share."""
 
     def __init__(self) -> None:
         self._endpoint_lists: dict[int, tuple[Endpoint, ...]] = {}
-        # Keyed by plain numbers, which are found faster than the members of an enum.
+        # The keys are plain numbers, as looking up members of an enum takes longer.
         self._record_types: dict[int, RecordType] = {
             EventCode.ENDPOINT_LIST.value: RecordType("HI", self._define_endpoint_list),
             EventCode.HEALTH_CHECK_COMPLETED.value: RecordType("H6sHQB", _build_health_check_completed),
@@ -116,7 +120,7 @@
         """Decode the records of one batch, in order.
 
         Raises:
-            WireFormatError: the wire does not allow these bytes; the events before the fault have been given.
+            WireFormatError: the records break the protocol; the events before the fault have been yielded.
         """
         record_types = self._record_types
         reader = RecordReader(records)
@@ -141,7 +145,7 @@
             raise TrailingBytesError(len(records) - reader.position)
 
     def _define_endpoint_list(self, fields: tuple[int, int], reader: RecordReader) -> None:
-        """Take in a numbered list; it replaces any earlier one of its number from here on."""
+        """Store a numbered endpoint list; it replaces an earlier one with the same number."""
         list_number, entry_count = fields
         try:
             entries = reader.read_bytes(entry_count * _LIST_ENTRY.size)
--- a/balancer/simulator/frames.py
+++ b/balancer/simulator/frames.py
@@ -1,6 +1,6 @@
 """Frames of the simulator's wire: batches of event records in, replies with action records out.
 
-All numbers are little-endian, without padding. A frame is a header and the records that the header counts.
+All numbers are little-endian, without padding. A frame is a header, followed by as many records as it says.
 """
 
 from __future__ import annotations
@@ -12,14 +12,15 @@
 from balancer.simulator.errors import FrameLengthError, TruncatedFrameError
 
 BATCH_HEADER = Struct("<IQI")
-"""Bytes of the whole frame, clock in nanoseconds, number of records."""
+"""Length of the frame with this header in bytes, clock in nanoseconds, number of records."""
+
 REPLY_HEADER = Struct("<II")
-"""Number of records, bytes of the whole frame."""
+"""Number of records, length of the frame with this header in bytes."""
 
 
 @dataclass(frozen=True, slots=True)
 class Batch:
-    """The events of one instant."""
+    """The events of one point in time."""
 
     now_ns: int
     record_count: int
@@ -28,11 +29,11 @@
 
 
 def read_batch(source: BinaryIO) -> Batch | None:
-    """Read the next batch; None at the end of the input.
+    """Return the next batch, or None at the end of the input.
 
     Raises:
         TruncatedFrameError: the input ended inside the frame.
-        FrameLengthError: the frame claims to be shorter than its header.
+        FrameLengthError: the length of the frame is less than that of its header.
     """
     header = source.read(BATCH_HEADER.size)
     if not header:
@@ -50,6 +51,6 @@
 
 
 def encode_reply(records: list[bytes]) -> bytes:
-    """Join the action records of a batch to one reply."""
+    """Return the reply to a batch, with these action records."""
     body = b"".join(records)
     return REPLY_HEADER.pack(len(records), REPLY_HEADER.size + len(body)) + body
--- a/balancer/simulator/record_codes.py
+++ b/balancer/simulator/record_codes.py
@@ -1,6 +1,6 @@
-"""The numbers that stand for records, outcomes, list kinds and health states on the simulator's wire.
+"""The codes of records, outcomes, update kinds and health states on the simulator's wire.
 
-Events and actions have separate sets of record codes. The comments give the names of the wire's own page.
+Events and actions have separate sets of record codes. The comments give the names in the simulator's manual.
 """
 
 from __future__ import annotations
@@ -69,6 +69,7 @@
 }
 
 WORK_HINT_IS_VALID: Final = 1
-"""Bit of a request's flags: its work hint is meant."""
+"""Bit of the flags of a request: its work hint is set."""
+
 CLIENT_RETRY: Final = 2
-"""Bit of a request's flags: the client marked it as a retry of its own."""
+"""Bit of the flags of a request: the client marked it as a retry."""
--- a/balancer/simulator/record_reader.py
+++ b/balancer/simulator/record_reader.py
@@ -1,4 +1,4 @@
-"""Reads what follows the fixed fields of a record, and keeps the position in the batch."""
+"""Read the variable part of a record, which follows its fixed fields."""
 
 from __future__ import annotations
 
@@ -6,12 +6,15 @@
 
 from balancer.simulator.errors import RecordOverrunError
 
-_MAX_FLOATS = 255  # their number is one byte on the wire
+_MAX_FLOATS = 255
+"""Largest number of floats in a record: the number is one byte on the wire."""
+
 _FLOAT_ARRAYS = tuple(struct.Struct(f"<{count}f") for count in range(_MAX_FLOATS + 1))
+"""The layouts of arrays of floats, by their length."""
 
 
 class RecordReader:
-    """A position in the records of a batch."""
+    """A position in the records of a batch, which advances as they are read."""
 
     __slots__ = ("_records", "position")
 
@@ -20,15 +23,16 @@
         self.position = 0
 
     def read_bytes(self, count: int) -> bytes:
-        """Read a byte string; raises RecordOverrunError if it is not all there."""
+        """Read a byte string; raises RecordOverrunError if the batch ends before."""
         start = self.position
-        self.position = end = start + count
+        end = start + count
+        self.position = end
         if end > len(self._records):
             raise RecordOverrunError(count, len(self._records) - start)
         return self._records[start:end]
 
     def read_floats(self, count: int) -> tuple[float, ...]:
-        """Read numbers of four bytes each; raises struct.error if they are not all there."""
+        """Read floats of four bytes each; raises struct.error if the batch ends before."""
         layout = _FLOAT_ARRAYS[count]
         floats = layout.unpack_from(self._records, self.position)
         self.position += layout.size
--- a/tests/simulator/__init__.py
+++ b/tests/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the adapter for the simulator."""
+"""Tests of the simulator's adapter."""
--- a/tests/simulator/test_action_encoder.py
+++ b/tests/simulator/test_action_encoder.py
@@ -1,4 +1,4 @@
-"""The action encoder against a reply written by hand from the description of the simulator's wire."""
+"""Test of the action encoder with a reply written by hand from the simulator's manual."""
 
 from __future__ import annotations
 
--- a/tests/simulator/test_adapter.py
+++ b/tests/simulator/test_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter for the simulator: replies, failures of single instances, and malformed input."""
+"""Tests of the simulator's adapter: replies, failures of single instances, and malformed input."""
 
 from __future__ import annotations
 
@@ -11,16 +11,25 @@
 import pytest
 
 from balancer.simulator import adapter, frames
+from balancer.time_units import SECOND_NS
 from tests.settings_samples import MINIMAL_SETTINGS
 
+RANDOM_SEED = 7
+
+# Values of the simulator's manual, written as numbers so that the tests do not follow a change of the code.
+BATCH_HEADER_BYTES = 16
+REPLY_HEADER_BYTES = 8
+INSTANCE_STARTED_CODE = 0x1A
+REPORT_FAILURE_CODE = 25
+
 
 def batch(*records: bytes) -> bytes:
     body = b"".join(records)
-    return frames.BATCH_HEADER.pack(16 + len(body), 1_000_000_000, len(records)) + body
+    return frames.BATCH_HEADER.pack(BATCH_HEADER_BYTES + len(body), SECOND_NS, len(records)) + body
 
 
 def instance_started(instance: int, settings: bytes) -> bytes:
-    return struct.pack("<BHQI", 0x1A, instance, 7, len(settings)) + settings
+    return struct.pack("<BHQI", INSTANCE_STARTED_CODE, instance, RANDOM_SEED, len(settings)) + settings
 
 
 def serve(frame: bytes) -> bytes:
@@ -38,7 +47,7 @@
     valid_start = instance_started(3, json.dumps(MINIMAL_SETTINGS).encode())
     reply = serve(batch(instance_started(2, b"{}"), valid_start, instance_stopped, valid_start))
     assert b"Categories" in reply
-    assert reply[8] == 25  # the code of a failure report
+    assert reply[REPLY_HEADER_BYTES] == REPORT_FAILURE_CODE
     # The failure report, and a timer for each start of the other instance.
     assert frames.REPLY_HEADER.unpack_from(reply)[0] == 3
 
--- a/tests/simulator/test_event_decoder.py
+++ b/tests/simulator/test_event_decoder.py
@@ -1,4 +1,4 @@
-"""The event decoder against records written by hand from the description of the simulator's wire."""
+"""Tests of the event decoder with records written by hand from the simulator's manual."""
 
 from __future__ import annotations
 
@@ -19,6 +19,9 @@
 from balancer.simulator.event_decoder import EventDecoder, HostedEvent
 from tests.simulator.wire_samples import SAMPLE_BATCH, request_id
 
+BATCH_HEADER_BYTES = 16
+"""Length of the header by the simulator's manual."""
+
 LIST_AND_UPDATE = bytes.fromhex(
     "10 0000 02000000"
     "0a124a07 8b13 00 0000 0000 01 0000803f 0000000000000000"
@@ -26,6 +29,7 @@
     "17 0300 02 0000 2900000000000000"
 )
 """An endpoint list with number 0, and an update that refers to it."""
+
 EMPTY_LIST_AND_UPDATE = bytes.fromhex("10 0000 00000000  17 0400 04 0000 2a00000000000000")
 """An empty list, again with number 0, and an update that refers to it."""
 
@@ -37,7 +41,7 @@
 def test_documented_batch_is_decoded() -> None:
     frame_bytes, now_ns, record_count = frames.BATCH_HEADER.unpack_from(SAMPLE_BATCH)
     assert (frame_bytes, now_ns, record_count) == (len(SAMPLE_BATCH), 0x1F568BF90, 3)
-    events = decode(SAMPLE_BATCH[16:], record_count)
+    events = decode(SAMPLE_BATCH[BATCH_HEADER_BYTES:], record_count)
     key_hash = int.from_bytes(bytes.fromhex("640ad2557c3bf091"), "little")
     assert events[0] == (
         3,
--- a/tests/simulator/wire_samples.py
+++ b/tests/simulator/wire_samples.py
@@ -1,4 +1,4 @@
-"""Frames and records written by hand from the description of the simulator's wire."""
+"""Frames written by hand from the simulator's manual."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
     "14 0300 4d00000000000000"
     "19 0500 192b6f0e625f0b00"
 )
-"""A request, a timer and a client's disconnect, for two instances."""
+"""A batch with a request, a timer and the disconnect of a client, for two instances."""
 
 SAMPLE_REPLY = bytes.fromhex(
     "03000000 4a000000"
@@ -16,9 +16,9 @@
     "14 0300 0065cd1d00000000 4d00000000000000"
     "18 0300 1100 74776f2073657276657273206b6e6f776e"
 )
-"""An attempt, a timer and a log line, of one instance."""
+"""A reply with an attempt, a timer and a log line, of one instance."""
 
 
 def request_id(wire_bytes: str) -> int:
-    """Return the number that eight bytes, in hexadecimal digits, stand for on the wire."""
+    """Return the request id that these eight bytes, in hexadecimal digits, stand for on the wire."""
     return int.from_bytes(bytes.fromhex(wire_bytes), "little")
