--- a/tests/sidecar/__init__.py
+++ b/tests/sidecar/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the real sidecar, over loopback sockets."""
+"""Tests of the sidecar; many of them run it over loopback sockets."""
--- a/tests/sidecar/client.py
+++ b/tests/sidecar/client.py
@@ -1,4 +1,4 @@
-"""A client of the sidecar, as the tests use it."""
+"""A client of the sidecar."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class ClientResponse(NamedTuple):
-    """A response as a client gets it."""
+    """A response as the client received it."""
 
     status: int
     headers: dict[bytes, bytes]
@@ -17,12 +17,12 @@
 
     @property
     def status_and_body(self) -> tuple[int, bytes]:
-        """What most tests compare."""
+        """The parts that most tests compare."""
         return self.status, self.body
 
 
 class Client:
-    """A connection of a client to the sidecar."""
+    """A client with one connection to the sidecar."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader = reader
@@ -41,7 +41,7 @@
         return ClientResponse(int(status_line.split()[1]), headers, body)
 
     async def is_closed(self) -> bool:
-        """Return whether the sidecar closes the connection and sends nothing before."""
+        """Wait for the sidecar to close the connection. Returns whether it sent nothing before that."""
         try:
             return await self.reader.read() == b""
         except ConnectionError:
--- a/tests/sidecar/configuration_documents.py
+++ b/tests/sidecar/configuration_documents.py
@@ -1,4 +1,4 @@
-"""Configurations, settings and endpoint lists of the tests, in their JSON form."""
+"""Configurations, settings and endpoint lists for the tests, as JSON documents."""
 
 from __future__ import annotations
 
@@ -6,8 +6,7 @@
 
 from tests.sidecar.scripted_endpoint import unreachable_address
 
-
-SETTINGS: dict[str, Any] = {
+SETTINGS: dict[str, Any] = {  # the units and names are those of the settings' JSON
     "Azs": ["bangna"],
     "Kinds": ["new-4c"],
     "Categories": [
@@ -42,7 +41,7 @@
 
 
 def endpoint_entry(name: str, address: str, health: str = "up") -> dict[str, Any]:
-    """Return the entry of an endpoint in an endpoint list."""
+    """Return the entry of an endpoint in an endpoint list, in the form that discovery sends."""
     return {
         "host": name,
         "dial": address,
@@ -55,13 +54,17 @@
     }
 
 
-def endpoint_list(sequence: int, *entries: dict[str, Any], whole: bool = True) -> dict[str, Any]:
-    """Return an endpoint list as discovery gives it; with `whole` a snapshot, else a delta."""
-    return {"seq": sequence, "whole": whole, "hosts": list(entries)}
+def endpoint_list(sequence: int, *entries: dict[str, Any], is_snapshot: bool = True) -> dict[str, Any]:
+    """Return a snapshot of the endpoint list, or a delta, in the form that discovery sends."""
+    return {"seq": sequence, "whole": is_snapshot, "hosts": list(entries)}
 
 
 def configuration(*addresses: str, discovery: str = "", **changes: Any) -> dict[str, Any]:
-    """Return the configuration of a sidecar that knows endpoints s-0, s-1, ... at these addresses."""
+    """Return the configuration of a sidecar, with overrides of its top-level keys.
+
+    Its cached endpoint list has the endpoints s-0, s-1, ... at these addresses. Nothing listens at the
+    address of discovery unless one is given.
+    """
     entries = [endpoint_entry(f"s-{index}", address) for index, address in enumerate(addresses)]
     return {
         "name": "n0",
@@ -75,7 +78,7 @@
 
 
 def change_classes(*changes: dict[str, Any], **settings: Any) -> dict[str, Any]:
-    """Return the usual settings, with these changes of the first request classes and of further settings."""
+    """Return `SETTINGS` with overrides of the first request classes, in order, and of top-level keys."""
     classes = list(SETTINGS["Categories"])
     for index, change in enumerate(changes):
         classes[index] = classes[index] | change
--- a/tests/sidecar/event_loop.py
+++ b/tests/sidecar/event_loop.py
@@ -9,16 +9,15 @@
 
 import uvloop
 
-
 TestParameters = ParamSpec("TestParameters")
 
 
 TEST_TIMEOUT_SECONDS = 20.0
-"""A test that hangs fails after this time; no test passes or fails by a shorter one."""
+"""A test that hangs fails after this time. No test passes or fails because of a shorter one."""
 
 
 def run(test: Coroutine[Any, Any, None]) -> None:
-    """Run a test on the event loop that the program uses."""
+    """Run a test on the event loop that the program uses; raises TimeoutError if it hangs."""
 
     async def run_with_timeout() -> None:
         await asyncio.wait_for(test, TEST_TIMEOUT_SECONDS)
@@ -29,7 +28,7 @@
 def async_test(
     test: Callable[TestParameters, Coroutine[Any, Any, None]],
 ) -> Callable[TestParameters, None]:
-    """Make a test function of a coroutine function, which runs on the event loop that the program uses."""
+    """Turn a coroutine function into a test function that runs it with `run`."""
 
     @functools.wraps(test)
     def run_test(*args: TestParameters.args, **kwargs: TestParameters.kwargs) -> None:
@@ -39,7 +38,7 @@
 
 
 async def wait_until(condition: Callable[[], object]) -> None:
-    """Wait until a condition holds. It is checked at once, then in every turn of the event loop."""
+    """Wait until a condition holds. It is checked at once, then in every iteration of the event loop."""
     loop = asyncio.get_running_loop()
     holds = loop.create_future()
 
--- a/tests/sidecar/manual_time.py
+++ b/tests/sidecar/manual_time.py
@@ -1,4 +1,4 @@
-"""Time that passes only when a test says so: a clock, and an event loop with timers that follow it."""
+"""Time that passes only when a test advances it: a clock, and an event loop whose timers follow it."""
 
 from __future__ import annotations
 
@@ -12,10 +12,11 @@
 from balancer.time_units import SECOND_NS
 
 START_NS = 1_000_000 * SECOND_NS
+"""Where the clock starts: as on a machine that has run for some days."""
 
 
 class ManualTimer:
-    """A timer that has been started with `ManualTime`; it may be cancelled."""
+    """A timer of `ManualTime`."""
 
     def __init__(self, callback: Callable[..., object], arguments: tuple[Any, ...]) -> None:
         self._callback = callback
@@ -23,7 +24,7 @@
         self._is_cancelled = False
 
     def cancel(self) -> None:
-        """Drop the callback."""
+        """Stop the timer, so that it never calls back."""
         self._is_cancelled = True
 
     def fire(self) -> None:
@@ -33,7 +34,7 @@
 
 
 class ManualTime(Clock):
-    """A clock that stands still between calls of `advance`, which fires the timers that become due."""
+    """A clock that stands still between calls of `advance`, which also fires the timers that become due."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -42,20 +43,20 @@
         self._timers: list[tuple[int, int, ManualTimer]] = []
 
     def now_ns(self) -> int:
-        """Return the time that the test has come to."""
+        """Return the time to which the test has advanced the clock, in nanoseconds."""
         return self._now_ns
 
     def start_timer(
         self, delay_seconds: float, callback: Callable[..., object], *arguments: Any
     ) -> ManualTimer:
-        """Call back once the test has advanced by this delay."""
+        """Call back once the test has advanced the clock by this delay."""
         timer = ManualTimer(callback, arguments)
         due_ns = self._now_ns + round(delay_seconds * SECOND_NS)
         heapq.heappush(self._timers, (due_ns, next(self._sequence), timer))
         return timer
 
     def advance(self, duration_ns: int) -> None:
-        """Let time pass. Each timer that becomes due meanwhile sees the time at which it is due."""
+        """Advance the clock. A timer that becomes due meanwhile is fired at the time at which it is due."""
         end_ns = self._now_ns + duration_ns
         while self._timers and self._timers[0][0] <= end_ns:
             due_ns, _, timer = heapq.heappop(self._timers)
@@ -65,16 +66,16 @@
 
 
 class _ManualTimeLoop:
-    """The running event loop, but for its timers."""
+    """The running event loop with the timers of a `ManualTime`."""
 
-    def __init__(self, time: ManualTime) -> None:
+    def __init__(self, manual_time: ManualTime) -> None:
         self._loop = asyncio.get_running_loop()
-        self.call_later = time.start_timer
+        self.call_later = manual_time.start_timer
 
     def __getattr__(self, name: str) -> Any:
         return getattr(self._loop, name)
 
 
-def event_loop_with_timers_of(time: ManualTime) -> asyncio.AbstractEventLoop:
-    """Return the running event loop with timers that follow this time."""
-    return cast(asyncio.AbstractEventLoop, _ManualTimeLoop(time))
+def event_loop_with_timers_of(manual_time: ManualTime) -> asyncio.AbstractEventLoop:
+    """Return the running event loop, with timers that fire when the test advances this clock."""
+    return cast(asyncio.AbstractEventLoop, _ManualTimeLoop(manual_time))
--- a/tests/sidecar/process_harness.py
+++ b/tests/sidecar/process_harness.py
@@ -1,4 +1,4 @@
-"""Runs the program in a process of its own, and waits for what happens in it."""
+"""Run the sidecar as a process of its own, and wait for changes of its state."""
 
 from __future__ import annotations
 
@@ -11,11 +11,15 @@
 from pathlib import Path
 from typing import Any, TypeVar
 
-from tests.sidecar.harness import Client, configuration, unreachable_address
+from tests.sidecar.client import Client
+from tests.sidecar.configuration_documents import configuration
+from tests.sidecar.scripted_endpoint import unreachable_address
 
 COMMAND = (sys.executable, "-m", "balancer")
+"""The command line of the sidecar."""
 REPOSITORY_ROOT = Path(__file__).parent.parent.parent
 POLL_INTERVAL_SECONDS = 0.01
+"""Pause between two attempts: short beside the start of a process, which takes some tenths of a second."""
 
 Result = TypeVar("Result")
 
@@ -23,7 +27,7 @@
 async def retry_until_result(
     attempt: Callable[[], Awaitable[Result | None]], interval_seconds: float = POLL_INTERVAL_SECONDS
 ) -> Result:
-    """Repeat an attempt until it returns something other than None, and return that."""
+    """Repeat an attempt until it returns something other than None, and return its result."""
     while True:
         result = await attempt()
         if result is not None:
@@ -38,24 +42,24 @@
 
 
 class ConfigurationFile:
-    """The configuration file of a sidecar, with an address of its own to listen at."""
+    """The configuration file of a sidecar that listens at a free port of 127.0.0.1."""
 
     def __init__(self, directory: Path) -> None:
         self.path = directory / "config.json"
         self.listen_address = unreachable_address()
 
     def write(self, *endpoint_addresses: str, **changes: Any) -> None:
-        """Write the configuration for these endpoints with changes."""
+        """Write a configuration with the endpoints at these addresses; `changes` override its keys."""
         document = configuration(*endpoint_addresses, listen=self.listen_address, **changes)
         self.write_text(json.dumps(document))
 
     def write_text(self, text: str) -> None:
-        """Write a text, which need not be a configuration."""
+        """Write any text, which need not be a valid configuration."""
         self.path.write_text(text)
 
 
 async def start_process(configuration_path: Path, **options: Any) -> asyncio.subprocess.Process:
-    """Start the program; `options` are those of `asyncio.create_subprocess_exec`."""
+    """Start the sidecar; `options` are passed to `asyncio.create_subprocess_exec`."""
     return await asyncio.create_subprocess_exec(
         *COMMAND,
         env=os.environ | {"PROXY_CONFIG": str(configuration_path)},
@@ -65,7 +69,7 @@
 
 
 async def connect(listen_address: str) -> Client:
-    """Return a connection to a sidecar that may still be starting."""
+    """Connect to a sidecar as a client, and wait for it if it is still starting."""
     host, port = split_address(listen_address)
 
     async def try_to_connect() -> Client | None:
@@ -77,7 +81,7 @@
 
 
 async def wait_until_refused(listen_address: str) -> None:
-    """Wait until the sidecar accepts no more connections."""
+    """Wait until the sidecar accepts no new connections."""
     host, port = split_address(listen_address)
 
     async def is_refused() -> bool | None:
--- a/tests/sidecar/scripted_endpoint.py
+++ b/tests/sidecar/scripted_endpoint.py
@@ -10,20 +10,19 @@
 
 from tests.sidecar.messages import ok_response, parse_headers
 
-
 Script: TypeAlias = Callable[["ReceivedRequest"], Awaitable[bytes | None]]
-"""Returns the response to a request as it goes on the wire; None closes the connection without one."""
+"""Return the bytes of the response to a request, or None to close the connection without a response."""
 
 
 class ReceivedRequest:
-    """A request as an endpoint or discovery received it."""
+    """A request as an endpoint or the discovery service received it."""
 
     def __init__(self, request_line: bytes, headers: dict[bytes, bytes], body: bytes) -> None:
         self.request_line = request_line
         self.headers = headers
         self.body = body
         self.connection_closed = asyncio.Event()
-        """Set when the sidecar closes the connection before it has a response."""
+        """Set when the sidecar closes the connection before the response is sent."""
 
 
 class ScriptedEndpoint:
@@ -33,14 +32,14 @@
         self.script = script
         self.received_requests: list[ReceivedRequest] = []
         self.request_arrived = asyncio.Event()
-        """Set once any request has arrived."""
+        """Set when the first request has arrived."""
         self.connection_count = 0
-        """How many connections were accepted so far."""
+        """Number of connections accepted so far."""
         self.address = ""
-        """Host and port, set once it listens."""
+        """Host and port; empty until the endpoint listens."""
 
     async def serve_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Answer requests until either side ends the connection."""
+        """Answer requests until either side closes the connection."""
         self.connection_count += 1
         with contextlib.suppress(ConnectionError, asyncio.IncompleteReadError):
             while await self._serve_request(reader, writer):
@@ -48,9 +47,10 @@
         writer.close()
 
     async def _serve_request(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> bool:
-        """Answer one request, and return whether the connection stays open."""
+        """Answer one request. Returns whether the connection stays open."""
         request = await self._read_request(reader)
         answering = asyncio.ensure_future(self.script(request))
+        # The sidecar sends nothing before it has the response, so a read ends only with the connection.
         closing = asyncio.ensure_future(reader.read(1))
         await asyncio.wait((answering, closing), return_when=asyncio.FIRST_COMPLETED)
         if not answering.done():
@@ -78,7 +78,7 @@
 
 @contextlib.asynccontextmanager
 async def run_endpoint(script: Script) -> AsyncIterator[ScriptedEndpoint]:
-    """Run an endpoint on a port of its own."""
+    """Run an endpoint on a free port of 127.0.0.1."""
     endpoint = ScriptedEndpoint(script)
     server = await asyncio.start_server(endpoint.serve_connection, "127.0.0.1", 0)
     endpoint.address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
@@ -88,19 +88,29 @@
         server.close()
 
 
+@contextlib.asynccontextmanager
+async def run_endpoints(*scripts: Script) -> AsyncIterator[list[ScriptedEndpoint]]:
+    """Run an endpoint for each of these scripts, in this order."""
+    async with contextlib.AsyncExitStack() as stack:
+        yield [await stack.enter_async_context(run_endpoint(script)) for script in scripts]
+
+
 async def answer_ok(request: ReceivedRequest) -> bytes:
-    """Script: answer at once, with the body of the request."""
+    """Script that answers at once with the body of the request."""
     return ok_response(request.body or b"done")
 
 
 async def never_answer(_request: ReceivedRequest) -> bytes:
-    """Script: leave the request unanswered."""
+    """Script that never answers."""
     await asyncio.Event().wait()
     return b""
 
 
 def unreachable_address() -> str:
-    """Return an address where nothing listens: its port was bound a moment ago and never listened on."""
+    """Return an address where nothing listens.
+
+    Its port was free a moment ago, and the system does not give it out again at once.
+    """
     with socket.socket() as bound:
         bound.bind(("127.0.0.1", 0))
         return f"127.0.0.1:{bound.getsockname()[1]}"
--- a/tests/sidecar/sidecar_under_test.py
+++ b/tests/sidecar/sidecar_under_test.py
@@ -1,4 +1,4 @@
-"""A whole sidecar that runs in the event loop of the test."""
+"""Run a complete sidecar in the event loop of the test."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 class _ObservedConnection(DownstreamConnection):
-    """A client's connection, whose transport a test may look at."""
+    """A client connection that makes its transport known to the test."""
 
     def __init__(self, listener: Listener, transports: list[asyncio.Transport]) -> None:
         super().__init__(listener)
@@ -40,7 +40,7 @@
 
 
 class Sidecar:
-    """A sidecar in the event loop of the test, which records the events that its policy gets."""
+    """A sidecar in the event loop of the test, which records the events that its policy handles."""
 
     def __init__(self, document: dict[str, Any], timeouts: DownstreamTimeouts = DEFAULT_TIMEOUTS) -> None:
         self.timeouts = timeouts
@@ -48,12 +48,17 @@
         self.events: list[Event] = []
         self.event_recorded = asyncio.Event()
         self.client_transports: list[asyncio.Transport] = []
-        """The transports of the clients' connections, oldest first."""
+        """Transports of the client connections, oldest first."""
 
     async def start(
         self, clock: Clock | None = None, dispatcher_loop: asyncio.AbstractEventLoop | None = None
     ) -> None:
-        """Start to listen. A test may give the dispatcher a clock and timers of its own."""
+        """Start to listen on a free port of 127.0.0.1.
+
+        Args:
+            clock: The clock of the dispatcher; the real one by default.
+            dispatcher_loop: The event loop whose timers the dispatcher uses; the running one by default.
+        """
         loop = asyncio.get_running_loop()
         self.balancer = Balancer(self.config.settings, self.config.seed)
         self.dispatcher = Dispatcher(self.config, dispatcher_loop or loop, clock or Clock(), policy=self)
@@ -65,13 +70,13 @@
         self.port = self.server.sockets[0].getsockname()[1]
 
     def handle(self, now_ns: int, event: Event) -> list[Action]:
-        """Record an event, as the policy of this sidecar, and leave the decision to the balancer."""
+        """Record an event and pass it to the balancer, in the place of the policy."""
         self.events.append(event)
         self.event_recorded.set()
         return self.balancer.handle(now_ns, event)
 
     async def wait_for_event(self, is_wanted: Callable[[Any], bool]) -> Any:
-        """Return the first event, past or to come, that is wanted."""
+        """Return the first event that matches, of those recorded so far and later."""
         while True:
             for event in self.events:
                 if is_wanted(event):
@@ -80,11 +85,11 @@
             await self.event_recorded.wait()
 
     def update_endpoints(self, document: dict[str, Any], kind: EndpointUpdateKind) -> None:
-        """Give the dispatcher an endpoint list, as if it came from discovery."""
+        """Pass the dispatcher an endpoint list, as the discovery client does."""
         self.dispatcher.on_endpoint_update(parse_endpoint_list(document, self.config.name_indices), kind)
 
     async def connect_client(self) -> Client:
-        """Return a new connection of a client."""
+        """Open a connection as a client."""
         return Client(*await asyncio.open_connection("127.0.0.1", self.port))
 
     def _accept_client(self) -> DownstreamConnection:
@@ -99,7 +104,7 @@
     timeouts: DownstreamTimeouts = DEFAULT_TIMEOUTS,
     **changes: Any,
 ) -> AsyncIterator[Sidecar]:
-    """Run a sidecar with the configuration for these endpoints and changes."""
+    """Run a sidecar that knows the endpoints at these addresses; `changes` override its configuration."""
     sidecar = Sidecar(configuration(*addresses, **changes), timeouts)
     await sidecar.start(clock, dispatcher_loop)
     try:
@@ -110,5 +115,5 @@
 
 
 def is_attempt_completed(event: Event) -> bool:
-    """Whether an event reports the end of an attempt."""
+    """Return whether an event reports the end of an attempt."""
     return isinstance(event, AttemptCompleted)
--- a/tests/sidecar/test_overload_over_sockets.py
+++ b/tests/sidecar/test_overload_over_sockets.py
@@ -1,11 +1,9 @@
-"""Tests of endpoints that answer only a part of what they are sent, over loopback sockets."""
+"""Tests of endpoints that answer only some of their requests, over loopback sockets."""
 
 from __future__ import annotations
 
 import asyncio
-import contextlib
 import time
-from collections import Counter
 from collections.abc import Callable
 
 import pytest
@@ -13,61 +11,21 @@
 from balancer.policy_api import AttemptCompleted, AttemptOutcome, Event, TimerFired
 from balancer.sidecar.upstream.attempt import AttemptState
 from balancer.time_units import MILLISECOND_NS
-from tests.sidecar.harness import (
-    SETTINGS,
-    Client,
-    ClientResponse,
-    ReceivedRequest,
-    Script,
-    Sidecar,
-    async_test,
-    change_classes,
-    endpoint_entry,
-    endpoint_list,
-    never_answer,
-    ok_response,
-    request_bytes,
-    run_endpoint,
-    run_sidecar,
-    wait_until,
-)
+from tests.sidecar.client import Client, ClientResponse
+from tests.sidecar.configuration_documents import SETTINGS, change_classes, endpoint_entry, endpoint_list
+from tests.sidecar.event_loop import async_test, wait_until
+from tests.sidecar.held_requests import HeldRequests
 from tests.sidecar.manual_time import ManualTime, event_loop_with_timers_of
+from tests.sidecar.messages import ok_response, request_bytes
+from tests.sidecar.scripted_endpoint import ReceivedRequest, Script, never_answer, run_endpoints
+from tests.sidecar.sidecar_under_test import Sidecar, run_sidecar
 
 CYCLE_TIMER = TimerFired(0)
-"""The event that ends a cycle of the policy."""
-
-
-class HeldRequests:
-    """Requests that endpoints hold until the test has one answered."""
-
-    def __init__(self) -> None:
-        self.counts = Counter[str]()
-        """How many requests each endpoint holds, by its name."""
-        self.arrivals: asyncio.Queue[str] = asyncio.Queue()
-        """The name of the endpoint of each request, as they arrive."""
-        self._may_answer: dict[str, list[asyncio.Event]] = {}
-
-    def script(self, name: str) -> Script:
-        """Return the script of the endpoint with this name."""
-
-        async def hold(_request: ReceivedRequest) -> bytes:
-            may_answer = asyncio.Event()
-            self._may_answer.setdefault(name, []).append(may_answer)
-            self.counts[name] += 1
-            self.arrivals.put_nowait(name)
-            await may_answer.wait()
-            return ok_response()
-
-        return hold
-
-    def answer_oldest(self, name: str) -> None:
-        """Let this endpoint answer the request that it has held the longest."""
-        self._may_answer[name].pop(0).set()
-        self.counts[name] -= 1
+"""The event that ends a cycle of overload detection."""
 
 
 class HeldClients:
-    """Clients whose requests endpoints hold, each on a connection of its own."""
+    """Clients whose requests are held by endpoints, each on a connection of its own."""
 
     def __init__(self, sidecar: Sidecar, held: HeldRequests, class_name: str) -> None:
         self._sidecar = sidecar
@@ -76,14 +34,14 @@
         self._exchanges: set[asyncio.Task[ClientResponse]] = set()
 
     async def send(self) -> None:
-        """Send one more request, and wait until an endpoint holds it."""
+        """Send a request, and wait until an endpoint holds it."""
         client = await self._sidecar.connect_client()
         exchange = client.exchange(request_bytes(self._class_name))
         self._exchanges.add(asyncio.create_task(exchange))
         await self._held.arrivals.get()
 
     async def answer_oldest(self, name: str) -> None:
-        """Let an endpoint answer one request, and see that its client gets the answer."""
+        """Let an endpoint answer its oldest request, and check that the client gets the response."""
         self._held.answer_oldest(name)
         [answered], _ = await asyncio.wait(self._exchanges, return_when=asyncio.FIRST_COMPLETED)
         self._exchanges.remove(answered)
@@ -92,32 +50,32 @@
 
 @async_test
 async def test_warming_endpoint_holds_its_share_of_what_others_hold() -> None:
-    """A limit of one request would leave endpoints idle that warm up, beside others that are full."""
-    async with contextlib.AsyncExitStack() as stack:
-        held = HeldRequests()
-        names = ("warm-1", "warm-2", "warming")
-        endpoints = {name: await stack.enter_async_context(run_endpoint(held.script(name))) for name in names}
-        entries = [endpoint_entry(name, endpoints[name].address) for name in names]
+    """A limit of one request would leave endpoints idle that are warming up, beside others that are full."""
+    held = HeldRequests()
+    names = ("warm-1", "warm-2", "warming")
+    # The slow start is so long that the allowance does not grow while the test runs.
+    slow_start = {"ColdFrom": 0.31, "ColdNs": 60_000_000_000}
+    async with run_endpoints(*map(held.script, names)) as endpoints:
+        entries = [
+            endpoint_entry(name, endpoint.address) for name, endpoint in zip(names, endpoints, strict=True)
+        ]
         entries[2]["born_ms"] = int(time.time() * 1000)
-        # The slow start is so long that its ramp does not grow while the test runs.
-        rules = {"ColdFrom": 0.31, "ColdNs": 60_000_000_000}
-        sidecar = await stack.enter_async_context(
-            run_sidecar(known=endpoint_list(1, *entries), settings=SETTINGS | {"Rules": rules})
-        )
-        clients = HeldClients(sidecar, held, "read")
-        for _ in range(40):
-            await clients.send()
-        assert held.counts["warming"] == 0  # its share has to be earned by what the others answer
-        for _ in range(80):
-            await clients.answer_oldest(max(names[:2], key=lambda name: held.counts[name]))
-            await clients.send()
-        mean_count = (held.counts["warm-1"] + held.counts["warm-2"]) / 2
-        assert 3 <= held.counts["warming"] <= 0.4 * mean_count + 1, held.counts
+        known = endpoint_list(1, *entries)
+        async with run_sidecar(known=known, settings=SETTINGS | {"Rules": slow_start}) as sidecar:
+            clients = HeldClients(sidecar, held, "read")
+            for _ in range(40):
+                await clients.send()
+            assert held.counts["warming"] == 0  # its share is earned by the responses of the others
+            for _ in range(80):
+                await clients.answer_oldest(max(names[:2], key=lambda name: held.counts[name]))
+                await clients.send()
+            mean_count = (held.counts["warm-1"] + held.counts["warm-2"]) / 2
+            assert 3 <= held.counts["warming"] <= 0.4 * mean_count + 1, held.counts
 
 
 def hang_on_reads(held: HeldRequests, hung: asyncio.Queue[ReceivedRequest]) -> Script:
-    """Return the script of the endpoint "half", which holds posts and never answers reads."""
-    hold = held.script("half")
+    """Return the script of the endpoint "hanging", which holds posts and never answers reads."""
+    hold = held.script("hanging")
 
     async def script(request: ReceivedRequest) -> bytes | None:
         if request.request_line.startswith(b"POST"):
@@ -129,8 +87,8 @@
 
 
 def serve_reads(held: HeldRequests) -> Script:
-    """Return the script of the endpoint "whole", which holds posts and answers reads at once."""
-    hold = held.script("whole")
+    """Return the script of the endpoint "healthy", which holds posts and answers reads at once."""
+    hold = held.script("healthy")
 
     async def script(request: ReceivedRequest) -> bytes | None:
         if request.request_line.startswith(b"POST"):
@@ -140,64 +98,62 @@
     return script
 
 
-async def read_is_answered(sidecar: Sidecar) -> None:
-    """Send a read on a new connection, and see that it is answered."""
+async def check_read_is_answered(sidecar: Sidecar) -> None:
+    """Send a read on a new connection, and check that it is answered."""
     client = await sidecar.connect_client()
     assert (await client.exchange(request_bytes())).status == 200
 
 
 @async_test
 async def test_class_that_hangs_at_an_endpoint_goes_elsewhere_and_other_classes_stay() -> None:
-    """Its waits are no overload, and its failures not the endpoint's: other classes must not be shed."""
-    async with contextlib.AsyncExitStack() as stack:
-        held = HeldRequests()
-        hung = asyncio.Queue[ReceivedRequest]()
-
-        scripts = (hang_on_reads(held, hung), serve_reads(held))
-        endpoints = [await stack.enter_async_context(run_endpoint(script)) for script in scripts]
-        settings = change_classes({"AimNs": 200_000_000})
-        addresses = [endpoint.address for endpoint in endpoints]
-        sidecar = await stack.enter_async_context(run_sidecar(*addresses, settings=settings))
+    """Hanging requests of one class are neither overload nor a fault of the endpoint for other classes."""
+    held = HeldRequests()
+    hung = asyncio.Queue[ReceivedRequest]()
+    settings = change_classes({"AimNs": 200_000_000})
+    async with (
+        run_endpoints(hang_on_reads(held, hung), serve_reads(held)) as endpoints,
+        run_sidecar(*(endpoint.address for endpoint in endpoints), settings=settings) as sidecar,
+    ):
         posts = HeldClients(sidecar, held, "post")
-
-        waiting: list[Client] = []
         for _ in range(12):
             await posts.send()
-        # The endpoint that has just answered holds the fewest, so the next request goes there.
+        # The endpoint that has just answered holds the fewest requests, so the next request goes there.
         for _ in range(3):
-            await posts.answer_oldest("whole")
-            await read_is_answered(sidecar)
+            await posts.answer_oldest("healthy")
+            await check_read_is_answered(sidecar)
             await posts.send()
+        waiting_clients: list[Client] = []
         for _ in range(3):
-            await posts.answer_oldest("half")
-            waiting.append(await sidecar.connect_client())
-            waiting[-1].writer.write(request_bytes())
+            await posts.answer_oldest("hanging")
+            client = await sidecar.connect_client()
+            waiting_clients.append(client)
+            client.writer.write(request_bytes())
             await hung.get()
         event_count = len(sidecar.events)
         while sidecar.events[event_count:].count(CYCLE_TIMER) < 6:
-            for name in ("half", "whole"):
+            for name in ("hanging", "healthy"):
                 await posts.answer_oldest(name)
                 await posts.send()
         for _ in range(10):
-            await posts.answer_oldest("half")
-            await read_is_answered(sidecar)
+            await posts.answer_oldest("hanging")
+            await check_read_is_answered(sidecar)
             await posts.send()
         assert hung.empty()
-        assert held.counts["half"] == 3, held.counts
+        assert held.counts["hanging"] == 3, held.counts
 
 
 class HangingReads:
-    """A sidecar's endpoints, at which reads hang while posts are answered, in time that the test advances.
+    """Endpoints at which reads hang while posts are answered, in time that the test advances.
 
-    Until `has_recovered` is set every read hangs; after that only the first one does.
+    Until `has_recovered` is set, every read hangs; after that only the first one does.
     """
 
-    ANSWER_TIME_NS = 10 * MILLISECOND_NS
-    """How long a post takes."""
+    RESPONSE_TIME_NS = 10 * MILLISECOND_NS
+    """How long an endpoint takes to answer a post."""
     POST_COUNT = 4
-    """How many posts are sent at once: so many that each endpoint gets one, however the reads are split."""
+    """Number of posts sent at once: enough for each endpoint to get one, however the reads are split."""
     PAUSE_NS = 15 * MILLISECOND_NS
-    """How long after the answers the next posts are sent: their connections have waited then."""
+    """Time between the responses and the next posts: longer than the reuse delay of their connections."""
 
     def __init__(self, manual_time: ManualTime) -> None:
         self.hung: list[ReceivedRequest] = []
@@ -216,7 +172,7 @@
                 self.hung.append(request)
                 return await never_answer(request)
             # There are never two attempts at once, so the earlier one has ended. Its end and this request
-            # arrive on two sockets, of which the event loop may read either first.
+            # arrive on two sockets, of which the event loop may read either one first.
             await self.hung[-1].connection_closed.wait()
             return ok_response(b"again")
 
@@ -225,11 +181,11 @@
     async def serve_posts_until(
         self, is_over: Callable[[], object], sidecar: Sidecar, clients: list[Client]
     ) -> None:
-        """Let posts overtake the reads that hang at each endpoint, while time passes."""
+        """Have posts answered that were sent after the hanging reads, while time passes."""
         while not is_over():
             exchanges = asyncio.gather(*(client.exchange(request_bytes("post")) for client in clients))
             names = [await self._held.arrivals.get() for _ in clients]
-            self._time.advance(self.ANSWER_TIME_NS)
+            self._time.advance(self.RESPONSE_TIME_NS)
             for name in names:
                 self._held.answer_oldest(name)
             assert [response.status for response in await exchanges] == [200] * len(clients)
@@ -238,7 +194,7 @@
 
 
 def all_attempts_are_sent(sidecar: Sidecar) -> bool:
-    """Whether no attempt waits for its connection."""
+    """Return whether no attempt is waiting for its connection."""
     requests = sidecar.dispatcher.ledger.in_flight.values()
     attempts = [request.attempt for request in requests if request.attempt is not None]
     return all(attempt.state is not AttemptState.CONNECTING for attempt in attempts)
@@ -247,7 +203,7 @@
 async def send_reads(
     clients: list[Client], sidecar: Sidecar, deadline: str
 ) -> asyncio.Future[list[ClientResponse]]:
-    """Send a read for each client, and return the responses to come once all reads are sent on."""
+    """Send a read for each client. Returns the future responses once all reads have been forwarded."""
     in_flight = sidecar.dispatcher.ledger.in_flight
     count_before = len(in_flight)
     exchanges = asyncio.gather(*(client.exchange(request_bytes(deadline=deadline)) for client in clients))
@@ -257,24 +213,20 @@
 
 
 @async_test
-async def test_hung_attempt_is_cancelled_for_a_further_one_that_is_answered(
-    monkeypatch: pytest.MonkeyPatch,
-) -> None:
-    """Waiting for its deadline, each request that hangs at one endpoint would be rejected."""
-    async with contextlib.AsyncExitStack() as stack:
-        manual_time = ManualTime()
-        reads = HangingReads(manual_time)
-        scripts = (reads.script("first"), reads.script("second"))
-        endpoints = [await stack.enter_async_context(run_endpoint(script)) for script in scripts]
-        limits = SETTINGS["Limits"] | {"Cancel": True}
-        sidecar = await stack.enter_async_context(
-            run_sidecar(
-                *(endpoint.address for endpoint in endpoints),
-                clock=manual_time,
-                dispatcher_loop=event_loop_with_timers_of(manual_time),
-                settings=change_classes({"AimNs": 200_000_000}, Limits=limits),
-            )
-        )
+async def test_hung_attempt_is_cancelled_and_its_retry_is_answered(monkeypatch: pytest.MonkeyPatch) -> None:
+    """If it waited for its deadline instead, each request that hangs at one endpoint would be rejected."""
+    manual_time = ManualTime()
+    reads = HangingReads(manual_time)
+    limits = SETTINGS["Limits"] | {"Cancel": True}
+    async with (
+        run_endpoints(reads.script("first"), reads.script("second")) as endpoints,
+        run_sidecar(
+            *(endpoint.address for endpoint in endpoints),
+            clock=manual_time,
+            dispatcher_loop=event_loop_with_timers_of(manual_time),
+            settings=change_classes({"AimNs": 200_000_000}, Limits=limits),
+        ) as sidecar,
+    ):
         clients = [await sidecar.connect_client() for _ in range(16)]
         posting_clients = [await sidecar.connect_client() for _ in range(reads.POST_COUNT)]
 
@@ -283,14 +235,14 @@
         await reads.serve_posts_until(alone.done, sidecar, posting_clients)
         [response] = alone.result()
         assert response.status in (503, 504)
-        assert len(reads.hung) <= 2  # not cancelled, but for the last millisecond before its deadline
+        assert len(reads.hung) <= 2  # not cancelled, except in the last millisecond before its deadline
         others = await send_reads(clients[1:], sidecar, deadline="1.2")
         await reads.serve_posts_until(others.done, sidecar, posting_clients)
         assert {response.status for response in others.result()} <= {503, 504}
 
         reads.hung.clear()
         reads.has_recovered = True
-        # A tenth is never cancelled, to learn what becomes of it.
+        # One in ten is never cancelled, so that the policy learns how such attempts end: not this one.
         monkeypatch.setattr(sidecar.balancer.random, "random", lambda: 0.5)
         event_count = len(sidecar.events)
         last = await send_reads(clients[:1], sidecar, deadline="9")
@@ -305,5 +257,5 @@
 
 
 def is_cancelled_attempt(event: Event) -> bool:
-    """Whether an event reports an attempt that was cancelled."""
+    """Return whether an event reports an attempt that was cancelled."""
     return isinstance(event, AttemptCompleted) and event.outcome == AttemptOutcome.CANCELLED
--- a/tests/sidecar/waiting.py
+++ b/tests/sidecar/waiting.py
@@ -1,4 +1,4 @@
-"""Waiting in asynchronous tests, without polling."""
+"""Wait in asynchronous tests without polling and without real time."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 from collections.abc import Callable
 
 
-async def wait_until(condition: Callable[[], bool], changed: asyncio.Event) -> None:
-    """Wait until a condition holds.
+async def wait_until_signalled(condition: Callable[[], bool], changed: asyncio.Event) -> None:
+    """Wait until a condition holds; it is checked at once, then whenever an event is set.
 
     Args:
         condition: What to wait for.
-        changed: Is set whenever the condition may have begun to hold; only one waiter at a time may use it.
+        changed: Set whenever the condition may have begun to hold. Only one waiter may use it at a time.
     """
     while not condition():
         changed.clear()
@@ -19,6 +19,6 @@
 
 
 async def run_ready_callbacks(rounds: int = 5) -> None:
-    """Let the event loop run what is ready, and what becomes ready by that, for some rounds."""
+    """Let the event loop run the callbacks that are ready, and those that they schedule, for some rounds."""
     for _ in range(rounds):
         await asyncio.sleep(0)
