--- a/deploy/example/account_server.py
+++ b/deploy/example/account_server.py
@@ -1,4 +1,4 @@
-"""A stand-in for an account server: answers every request with its own port, for the example only."""
+"""A stand-in for an account server, for the example only: answers every request with its own port."""
 
 from __future__ import annotations
 
--- a/tests/__init__.py
+++ b/tests/__init__.py
@@ -1,1 +1,1 @@
-"""The tests, laid out after the modules under test."""
+"""The tests, in the same folders as the modules under test."""
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,7 +1,7 @@
-"""Lets the run pass over the tests that KNOWN-RED.txt lists, and over no others, and prints them.
+"""Expect the tests that KNOWN-RED.txt lists to fail, and print them at the end of the run.
 
 Each line of that file is `test id: cause (issue)`; a test with parameters is one entry. A listed test has to
-fail: one that passes or does not exist, or a list that is too long, fails the run.
+fail: the run fails if one passes or does not exist, or if the list is too long.
 """
 
 from __future__ import annotations
@@ -13,19 +13,21 @@
 
 KNOWN_RED_FILE = Path(__file__).parent.parent / "KNOWN-RED.txt"
 MAX_KNOWN_RED = 3
+"""Largest number of entries: more failing tests have to be mended before anything else."""
+
 _SEPARATOR = ": "
 
 
 @dataclass(frozen=True, slots=True)
 class KnownRed:
-    """A test that fails for a real fault."""
+    """A test that is known to fail, and the fault that is the cause."""
 
     test_id: str
     cause: str
 
 
 def parse_known_red(text: str) -> list[KnownRed]:
-    """Read the list. Raises `pytest.UsageError` if a line is malformed or there are too many."""
+    """Parse the list. Raises `pytest.UsageError` if a line is malformed or the list is too long."""
     entries = []
     for line in filter(None, map(str.strip, text.splitlines())):
         test_id, separator, cause = line.partition(_SEPARATOR)
@@ -38,12 +40,12 @@
 
 
 def read_known_red() -> list[KnownRed]:
-    """Read the list of this repository; there is none where nothing is known to fail."""
+    """Read the list of this repository; without a file nothing is known to fail."""
     return parse_known_red(KNOWN_RED_FILE.read_text()) if KNOWN_RED_FILE.exists() else []
 
 
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
-    """Expect the listed tests to fail."""
+    """Mark the listed tests, so that pytest expects them to fail."""
     entries = {entry.test_id: entry for entry in read_known_red()}
     collected = {_function_id(item) for item in items}
     runs_whole_suite = not config.args or config.args == config.getini("testpaths")
@@ -57,11 +59,11 @@
 
 
 def _function_id(item: pytest.Item) -> str:
-    """Return the id of a test function, without its parameters: all of them are one entry of the list."""
+    """Return the id of a test function without its parameters, which all belong to one entry of the list."""
     return item.nodeid.partition("[")[0]
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter) -> None:
-    """Print what is known to fail."""
+    """Print the tests that are known to fail."""
     for entry in read_known_red():
         terminalreporter.write_line(f"known red: {entry.test_id}: {entry.cause}")
--- a/tests/settings_samples.py
+++ b/tests/settings_samples.py
@@ -1,8 +1,8 @@
-"""Settings in the JSON form that the simulator and the sidecar's configuration share."""
+"""Settings in their JSON form, which the simulator and the configuration of the sidecar share."""
 
 from __future__ import annotations
 
 MINIMAL_SETTINGS: dict[str, object] = {
     "Categories": [{"AimNs": 5, "HardLimitNs": 9, "Effect": "dedup", "KeyScope": "cell", "Importance": 2}]
 }
-"""Valid settings with only the keys that are required, and those of one class of requests."""
+"""Valid settings with no more than the required keys, and one request class."""
--- a/tests/test_example.py
+++ b/tests/test_example.py
@@ -1,4 +1,4 @@
-"""The example configuration and the request that the example prints are valid."""
+"""Tests that the example configuration, and the request that the example prints, are valid."""
 
 from __future__ import annotations
 
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of tests that are known to fail."""
+"""Tests of the list of tests that are known to fail."""
 
 from __future__ import annotations
 
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -1,4 +1,4 @@
-"""The example in the README runs as printed."""
+"""Test that the example in the README runs as printed."""
 
 from __future__ import annotations
 
