--- a/benchmarks/discovery_stand_in.py
+++ b/benchmarks/discovery_stand_in.py
@@ -10,7 +10,6 @@
 import contextlib
 import json
 from dataclasses import dataclass
-from types import TracebackType
 from typing import Self, TypeAlias
 from urllib.parse import parse_qs, urlsplit
 
@@ -55,12 +54,7 @@
         self._server = await asyncio.start_server(self._accept, "127.0.0.1", 0, limit=_HEAD_LIMIT_BYTES)
         return self
 
-    async def __aexit__(
-        self,
-        exception_type: type[BaseException] | None,
-        exception: BaseException | None,
-        traceback: TracebackType | None,
-    ) -> None:
+    async def __aexit__(self, *_exception: object) -> None:
         """Stop listening and close all connections."""
         if self._server is None:
             return
--- a/benchmarks/sidecar_process.py
+++ b/benchmarks/sidecar_process.py
@@ -10,8 +10,8 @@
 import sys
 import tempfile
 import time
+from collections.abc import Callable
 from pathlib import Path
-from types import TracebackType
 from typing import Self
 
 from benchmarks.errors import SidecarExitedError, SidecarNotReadyError
@@ -79,12 +79,7 @@
             self._cleanup = cleanup.pop_all()
         return self
 
-    async def __aexit__(
-        self,
-        exception_type: type[BaseException] | None,
-        exception: BaseException | None,
-        traceback: TracebackType | None,
-    ) -> None:
+    async def __aexit__(self, *_exception: object) -> None:
         """Stop the process and remove its configuration file."""
         await self._cleanup.aclose()
 
@@ -104,17 +99,16 @@
 
     def cpu_seconds(self) -> float:
         """Return the processor time so far; raises SidecarExitedError if the process has exited."""
-        process_id = self._running_process_id()
-        try:
-            return read_cpu_seconds(process_id)
-        except OSError:
-            raise SidecarExitedError(None) from None
+        return self._read_usage(read_cpu_seconds)
 
     def resident_megabytes(self) -> float:
         """Return the resident set size in MiB; raises SidecarExitedError if the process has exited."""
+        return self._read_usage(read_resident_megabytes)
+
+    def _read_usage(self, read: Callable[[int], float]) -> float:
         process_id = self._running_process_id()
         try:
-            return read_resident_megabytes(process_id)
+            return read(process_id)
         except OSError:
             raise SidecarExitedError(None) from None
 
