--- a/tests/sidecar/discovery/scripted_discovery.py
+++ b/tests/sidecar/discovery/scripted_discovery.py
@@ -16,7 +16,9 @@
 from balancer.sidecar.discovery.call import DiscoveryCaller, DiscoveryCallError
 from balancer.sidecar.discovery.endpoint_list import EndpointListUpdate
 from balancer.sidecar.runtime.address import Address
-from tests.sidecar.harness import SETTINGS, TEST_TIMEOUT_SECONDS, endpoint_entry, ok_response
+from tests.sidecar.configuration_documents import SETTINGS, endpoint_entry
+from tests.sidecar.event_loop import TEST_TIMEOUT_SECONDS
+from tests.sidecar.messages import ok_response
 
 AnswerScript: TypeAlias = Callable[[asyncio.StreamWriter], Awaitable[None]]
 """Answers one call in its own way."""
--- a/tests/sidecar/discovery/test_call.py
+++ b/tests/sidecar/discovery/test_call.py
@@ -14,6 +14,7 @@
 from balancer.sidecar.discovery.call import DiscoveryCaller, DiscoveryCallError
 from balancer.sidecar.discovery.endpoint_list import NameIndices
 from balancer.sidecar.runtime.address import Address
+from tests.sidecar.configuration_documents import endpoint_entry
 from tests.sidecar.discovery.scripted_discovery import (
     DRAIN_UPDATE,
     CallRecorder,
@@ -22,14 +23,10 @@
     is_drain_update,
     is_update_of,
 )
-from tests.sidecar.harness import (
-    TEST_TIMEOUT_SECONDS,
-    endpoint_entry,
-    ok_response,
-    run,
-    run_sidecar,
-    unreachable_address,
-)
+from tests.sidecar.event_loop import TEST_TIMEOUT_SECONDS, run
+from tests.sidecar.messages import ok_response
+from tests.sidecar.scripted_endpoint import unreachable_address
+from tests.sidecar.sidecar_under_test import run_sidecar
 
 
 class SnapshotServer:
--- a/tests/sidecar/discovery/test_client.py
+++ b/tests/sidecar/discovery/test_client.py
@@ -22,6 +22,7 @@
 from balancer.sidecar.discovery.profile import POLLED_DISCOVERY, PUSHED_DISCOVERY
 from balancer.sidecar.runtime.address import Address
 from balancer.time_units import SECOND_NS
+from tests.sidecar.configuration_documents import endpoint_entry
 from tests.sidecar.discovery.scripted_discovery import (
     DISCOVERY_FAILED,
     DRAIN_UPDATE,
@@ -39,19 +40,11 @@
     send_without_end,
     unreachable,
 )
-from tests.sidecar.harness import (
-    ReceivedRequest,
-    Sidecar,
-    endpoint_entry,
-    never_answer,
-    ok_response,
-    run,
-    run_endpoint,
-    run_sidecar,
-    status_response,
-    unreachable_address,
-)
-from tests.sidecar.waiting import run_ready_callbacks, wait_until
+from tests.sidecar.event_loop import run
+from tests.sidecar.messages import ok_response, status_response
+from tests.sidecar.scripted_endpoint import ReceivedRequest, never_answer, run_endpoint, unreachable_address
+from tests.sidecar.sidecar_under_test import Sidecar, run_sidecar
+from tests.sidecar.waiting import run_ready_callbacks, wait_until_signalled
 
 pushed_and_polled = pytest.mark.parametrize("polled", [False, True], ids=["pushed", "polled"])
 
@@ -198,10 +191,12 @@
             async with run_sidecar("127.0.0.1:9", discovery=old_discovery.dial, settings=settings) as sidecar:
                 start_watching(sidecar, polled)
                 hanging_call = 1 if connect_hangs else 2
-                await wait_until(lambda: len(recorder.calls) >= hanging_call, recorder.call_started)
+                await wait_until_signalled(lambda: len(recorder.calls) >= hanging_call, recorder.call_started)
                 await run_ready_callbacks()  # so that the call is under way
                 sidecar.discovery.change_address(new_discovery.address)
-                await wait_until(lambda: bool(new_discovery.request_lines), new_discovery.request_received)
+                await wait_until_signalled(
+                    lambda: bool(new_discovery.request_lines), new_discovery.request_received
+                )
                 assert new_discovery.request_lines[0] == b"GET /discovery/hosts HTTP/1.1"
                 assert DISCOVERY_FAILED not in sidecar.events
                 assert new_discovery.connections == 1
@@ -259,7 +254,9 @@
         ):
             start_watching(sidecar, polled)
             sidecar.discovery.fetch_snapshot()
-            await wait_until(lambda: len(discovery.received_requests) >= 2, discovery.request_arrived)
+            await wait_until_signalled(
+                lambda: len(discovery.received_requests) >= 2, discovery.request_arrived
+            )
             assert len(running_calls()) == 2
             await sidecar.discovery.stop()
             assert running_calls() == []
--- a/tests/sidecar/discovery/test_discovery_over_sockets.py
+++ b/tests/sidecar/discovery/test_discovery_over_sockets.py
@@ -14,23 +14,17 @@
 from balancer.policy_api import EndpointHealth, EndpointUpdate, EndpointUpdateKind, Event
 from balancer.sidecar.discovery.endpoint_list import NameIndices, derive_endpoint_id, parse_endpoint_list
 from balancer.sidecar.runtime.address import Address
-from tests.sidecar.harness import (
-    TEST_TIMEOUT_SECONDS,
+from tests.sidecar.configuration_documents import change_classes, endpoint_entry, endpoint_list
+from tests.sidecar.event_loop import TEST_TIMEOUT_SECONDS, async_test, wait_until
+from tests.sidecar.messages import ok_response, status_response
+from tests.sidecar.scripted_endpoint import (
     ReceivedRequest,
     Script,
-    Sidecar,
-    async_test,
-    change_classes,
-    endpoint_entry,
-    endpoint_list,
     never_answer,
-    ok_response,
     run_endpoint,
-    run_sidecar,
-    status_response,
     unreachable_address,
-    wait_until,
 )
+from tests.sidecar.sidecar_under_test import Sidecar, run_sidecar
 
 UNUSED_ADDRESS = "127.0.0.1:9"
 ON_REQUEST = change_classes(Discovery="on_request")
@@ -61,7 +55,7 @@
 
 def list_response(sequence: int, *entries: dict[str, Any], whole: bool = True) -> bytes:
     """Return a response with an endpoint list."""
-    return ok_response(json.dumps(endpoint_list(sequence, *entries, whole=whole)).encode())
+    return ok_response(json.dumps(endpoint_list(sequence, *entries, is_snapshot=whole)).encode())
 
 
 def tolerate_late_responses(sidecar: Sidecar) -> None:
@@ -212,7 +206,7 @@
         if len(paths) > 2:
             return await never_answer(received)
         if len(paths) == 2:
-            delta = endpoint_list(2, endpoint_entry("s-0", UNUSED_ADDRESS, "draining"), whole=False)
+            delta = endpoint_list(2, endpoint_entry("s-0", UNUSED_ADDRESS, "draining"), is_snapshot=False)
             return ok_response(json.dumps(delta, indent=2).encode())
         return first if first is not None else await never_answer(received)
 
--- a/tests/sidecar/discovery/test_endpoint_list.py
+++ b/tests/sidecar/discovery/test_endpoint_list.py
@@ -19,7 +19,7 @@
     parse_endpoint_list,
 )
 from balancer.sidecar.runtime.address import Address
-from tests.sidecar.harness import SETTINGS, configuration, endpoint_entry, endpoint_list
+from tests.sidecar.configuration_documents import SETTINGS, configuration, endpoint_entry, endpoint_list
 
 STORED_LIST = """{
   "seq": 41,
--- a/tests/sidecar/downstream/harness.py
+++ b/tests/sidecar/downstream/harness.py
@@ -12,16 +12,10 @@
 
 from balancer.sidecar.downstream.connection import DownstreamConnection
 from balancer.sidecar.downstream.timeouts import DownstreamTimeouts
-from tests.sidecar.harness import (
-    Script,
-    ScriptedEndpoint,
-    Sidecar,
-    answer_ok,
-    request_bytes,
-    run_endpoint,
-    run_sidecar,
-    wait_until,
-)
+from tests.sidecar.event_loop import wait_until
+from tests.sidecar.messages import request_bytes
+from tests.sidecar.scripted_endpoint import Script, ScriptedEndpoint, answer_ok, run_endpoint
+from tests.sidecar.sidecar_under_test import Sidecar, run_sidecar
 
 CLOSE_HEADER = b"Connection: close\r\n"
 READINESS_REQUEST = b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n"
--- a/tests/sidecar/downstream/test_acceptor.py
+++ b/tests/sidecar/downstream/test_acceptor.py
@@ -12,7 +12,7 @@
 from balancer.sidecar.downstream.acceptor import Acceptor, open_listening_socket
 from balancer.sidecar.runtime.address import Address
 from balancer.sidecar.runtime.metrics import Metric, Metrics
-from tests.sidecar.harness import async_test
+from tests.sidecar.event_loop import async_test
 
 
 class FailingSocket:
--- a/tests/sidecar/downstream/test_client_disconnect.py
+++ b/tests/sidecar/downstream/test_client_disconnect.py
@@ -22,17 +22,10 @@
     reset_on_close,
     run_sidecar_without_sweeps,
 )
-from tests.sidecar.harness import (
-    ReceivedRequest,
-    Script,
-    Sidecar,
-    answer_ok,
-    async_test,
-    ok_response,
-    request_bytes,
-    run_endpoint,
-    wait_until,
-)
+from tests.sidecar.event_loop import async_test, wait_until
+from tests.sidecar.messages import ok_response, request_bytes
+from tests.sidecar.scripted_endpoint import ReceivedRequest, Script, answer_ok, run_endpoint
+from tests.sidecar.sidecar_under_test import Sidecar
 from tests.sidecar.upstream.harness import received_request_count
 
 DECLINED_RESPONSE = b"HTTP/1.1 503 X\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n"
--- a/tests/sidecar/downstream/test_connection.py
+++ b/tests/sidecar/downstream/test_connection.py
@@ -31,16 +31,10 @@
     sweep_after,
     sweep_at,
 )
-from tests.sidecar.harness import (
-    ReceivedRequest,
-    Sidecar,
-    answer_ok,
-    async_test,
-    ok_response,
-    request_bytes,
-    run_endpoint,
-    wait_until,
-)
+from tests.sidecar.event_loop import async_test, wait_until
+from tests.sidecar.messages import ok_response, request_bytes
+from tests.sidecar.scripted_endpoint import ReceivedRequest, answer_ok, run_endpoint
+from tests.sidecar.sidecar_under_test import Sidecar
 
 
 class ExpectedResponse(NamedTuple):
--- a/tests/sidecar/downstream/test_connection_timeouts.py
+++ b/tests/sidecar/downstream/test_connection_timeouts.py
@@ -6,16 +6,10 @@
 from typing import cast
 
 from balancer.sidecar.downstream.timeouts import DownstreamTimeouts
-from tests.sidecar.harness import (
-    ReceivedRequest,
-    answer_ok,
-    async_test,
-    ok_response,
-    request_bytes,
-    run_endpoint,
-    run_sidecar,
-    wait_until,
-)
+from tests.sidecar.event_loop import async_test, wait_until
+from tests.sidecar.messages import ok_response, request_bytes
+from tests.sidecar.scripted_endpoint import ReceivedRequest, answer_ok, run_endpoint
+from tests.sidecar.sidecar_under_test import run_sidecar
 
 
 @async_test
--- a/tests/sidecar/downstream/test_listener.py
+++ b/tests/sidecar/downstream/test_listener.py
@@ -20,18 +20,10 @@
     run_sidecar_without_sweeps,
     set_time,
 )
-from tests.sidecar.harness import (
-    ReceivedRequest,
-    ScriptedEndpoint,
-    Sidecar,
-    answer_ok,
-    async_test,
-    ok_response,
-    request_bytes,
-    run_endpoint,
-    run_sidecar,
-    wait_until,
-)
+from tests.sidecar.event_loop import async_test, wait_until
+from tests.sidecar.messages import ok_response, request_bytes
+from tests.sidecar.scripted_endpoint import ReceivedRequest, ScriptedEndpoint, answer_ok, run_endpoint
+from tests.sidecar.sidecar_under_test import Sidecar, run_sidecar
 
 LIMITS = {"sockets": 19}
 MAX_CONNECTIONS = 7
--- a/tests/sidecar/downstream/test_pipelining.py
+++ b/tests/sidecar/downstream/test_pipelining.py
@@ -8,23 +8,16 @@
 from typing import NamedTuple
 
 from balancer.sidecar.downstream.exchange import MAX_PIPELINED_REQUESTS
+from tests.sidecar.client import Client
 from tests.sidecar.downstream.harness import (
     run_client_session,
     run_sidecar_without_sweeps,
     set_time,
 )
-from tests.sidecar.harness import (
-    Client,
-    ReceivedRequest,
-    ScriptedEndpoint,
-    Sidecar,
-    async_test,
-    ok_response,
-    request_bytes,
-    run_endpoint,
-    run_sidecar,
-    wait_until,
-)
+from tests.sidecar.event_loop import async_test, wait_until
+from tests.sidecar.messages import ok_response, request_bytes
+from tests.sidecar.scripted_endpoint import ReceivedRequest, ScriptedEndpoint, run_endpoint
+from tests.sidecar.sidecar_under_test import Sidecar, run_sidecar
 
 
 @async_test
--- a/tests/sidecar/downstream/test_request_reader.py
+++ b/tests/sidecar/downstream/test_request_reader.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from balancer.sidecar.downstream.request_reader import ARRIVAL_RESOLUTION_SECONDS, RequestReader
-from tests.sidecar.harness import request_bytes
+from tests.sidecar.messages import request_bytes
 
 
 def arrival_times(reader: RequestReader) -> list[float]:
--- a/tests/sidecar/downstream/test_request_validator.py
+++ b/tests/sidecar/downstream/test_request_validator.py
@@ -7,7 +7,10 @@
 from balancer.sidecar.downstream.request_validator import parse_deadline_ns, parse_work_hint_ns
 from balancer.sidecar.http.request import HttpRequestError
 from tests.sidecar.downstream.harness import check_rejection
-from tests.sidecar.harness import answer_ok, async_test, request_bytes, run_endpoint, run_sidecar
+from tests.sidecar.event_loop import async_test
+from tests.sidecar.messages import request_bytes
+from tests.sidecar.scripted_endpoint import answer_ok, run_endpoint
+from tests.sidecar.sidecar_under_test import run_sidecar
 
 INVALID_REQUESTS = [
     (request_bytes(request_id="9b1f").replace(b"Req-Kind: read", b"Req-Kind: odd"), 400),
--- a/tests/sidecar/downstream/test_requests_over_sockets.py
+++ b/tests/sidecar/downstream/test_requests_over_sockets.py
@@ -8,19 +8,11 @@
 
 from balancer.policy_api import ClientDisconnected, EndpointUpdateKind
 from balancer.sidecar.downstream.exchange import MAX_PIPELINED_REQUESTS
-from tests.sidecar.harness import (
-    ReceivedRequest,
-    answer_ok,
-    async_test,
-    endpoint_entry,
-    endpoint_list,
-    ok_response,
-    request_bytes,
-    run_endpoint,
-    run_sidecar,
-    unreachable_address,
-    wait_until,
-)
+from tests.sidecar.configuration_documents import endpoint_entry, endpoint_list
+from tests.sidecar.event_loop import async_test, wait_until
+from tests.sidecar.messages import ok_response, request_bytes
+from tests.sidecar.scripted_endpoint import ReceivedRequest, answer_ok, run_endpoint, unreachable_address
+from tests.sidecar.sidecar_under_test import run_sidecar
 from tests.sidecar.upstream.harness import ConnectGate
 
 
--- a/tests/sidecar/http/test_outbound_connection.py
+++ b/tests/sidecar/http/test_outbound_connection.py
@@ -13,15 +13,10 @@
 from balancer.sidecar.http.message import HttpResponse
 from balancer.sidecar.http.outbound_connection import OutboundConnection
 from balancer.sidecar.upstream.response_outcome import outcome_of_response
-from tests.sidecar.harness import (
-    TEST_TIMEOUT_SECONDS,
-    answer_ok,
-    async_test,
-    request_bytes,
-    run_endpoint,
-    run_sidecar,
-    wait_until,
-)
+from tests.sidecar.event_loop import TEST_TIMEOUT_SECONDS, async_test, wait_until
+from tests.sidecar.messages import request_bytes
+from tests.sidecar.scripted_endpoint import answer_ok, run_endpoint
+from tests.sidecar.sidecar_under_test import run_sidecar
 from tests.sidecar.upstream.harness import HEAD_WITHOUT_LENGTH, RESET_ON_CLOSE
 
 REQUEST = b"GET / HTTP/1.1\r\n\r\n"
--- a/tests/sidecar/http/test_request.py
+++ b/tests/sidecar/http/test_request.py
@@ -7,7 +7,8 @@
 from balancer.sidecar.http.message import MAX_HEAD_BYTES
 from balancer.sidecar.http.request import parse_request_head
 from tests.sidecar.downstream.harness import MALFORMED_REQUEST, check_rejection
-from tests.sidecar.harness import async_test, request_bytes
+from tests.sidecar.event_loop import async_test
+from tests.sidecar.messages import request_bytes
 
 POST = b"POST / HTTP/1.1\r\n%s\r\n\r\n"
 
--- a/tests/sidecar/http/test_response_parser.py
+++ b/tests/sidecar/http/test_response_parser.py
@@ -14,7 +14,7 @@
     ResponseParser,
     ResponseTooLargeError,
 )
-from tests.sidecar.harness import ok_response
+from tests.sidecar.messages import ok_response
 
 MAX_BODY_BYTES = 1000
 COMPLETE = b"HTTP/1.1 200 OK\r\nX-Shard: 7\r\nContent-Length: 4\r\n\r\ndone"
--- a/tests/sidecar/process/test_configuration_errors.py
+++ b/tests/sidecar/process/test_configuration_errors.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from tests.sidecar.harness import SETTINGS, configuration
+from tests.sidecar.configuration_documents import SETTINGS, configuration
 from tests.sidecar.process_harness import COMMAND, REPOSITORY_ROOT
 
 
--- a/tests/sidecar/process/test_configuration_reloader.py
+++ b/tests/sidecar/process/test_configuration_reloader.py
@@ -7,16 +7,12 @@
 import json
 import signal
 
-from tests.sidecar.harness import (
-    ReceivedRequest,
-    async_test,
-    configuration,
-    ok_response,
-    run_endpoint,
-    unreachable_address,
-)
+from tests.sidecar.configuration_documents import configuration
+from tests.sidecar.event_loop import async_test
+from tests.sidecar.messages import ok_response
 from tests.sidecar.process.log_lines import RELOAD_FAILED
 from tests.sidecar.process_harness import ConfigurationFile, connect, start_process
+from tests.sidecar.scripted_endpoint import ReceivedRequest, run_endpoint, unreachable_address
 
 
 async def send_hang_ups_until_exit(process: asyncio.subprocess.Process) -> int:
--- a/tests/sidecar/process/test_graceful_shutdown.py
+++ b/tests/sidecar/process/test_graceful_shutdown.py
@@ -5,15 +5,10 @@
 import asyncio
 import signal
 
+from tests.sidecar.client import Client
 from tests.sidecar.downstream.harness import READINESS_REQUEST
-from tests.sidecar.harness import (
-    Client,
-    ReceivedRequest,
-    async_test,
-    ok_response,
-    request_bytes,
-    run_endpoint,
-)
+from tests.sidecar.event_loop import async_test
+from tests.sidecar.messages import ok_response, request_bytes
 from tests.sidecar.process.log_lines import RELOAD_FAILED
 from tests.sidecar.process_harness import (
     ConfigurationFile,
@@ -22,6 +17,7 @@
     start_process,
     wait_until_refused,
 )
+from tests.sidecar.scripted_endpoint import ReceivedRequest, run_endpoint
 
 
 @async_test
--- a/tests/sidecar/process/test_lifecycle.py
+++ b/tests/sidecar/process/test_lifecycle.py
@@ -10,8 +10,10 @@
 import pytest
 
 from tests.sidecar.downstream.harness import CLOSE_HEADER, READINESS_REQUEST
-from tests.sidecar.harness import answer_ok, async_test, request_bytes, run_endpoint, unreachable_address
+from tests.sidecar.event_loop import async_test
+from tests.sidecar.messages import request_bytes
 from tests.sidecar.process_harness import ConfigurationFile, connect, start_process
+from tests.sidecar.scripted_endpoint import answer_ok, run_endpoint, unreachable_address
 
 
 @async_test
--- a/tests/sidecar/process/test_scarce_descriptors.py
+++ b/tests/sidecar/process/test_scarce_descriptors.py
@@ -15,18 +15,10 @@
 
 import pytest
 
+from tests.sidecar.configuration_documents import endpoint_entry
 from tests.sidecar.downstream.harness import MALFORMED_REQUEST, READINESS_REQUEST
-from tests.sidecar.harness import (
-    ReceivedRequest,
-    ScriptedEndpoint,
-    answer_ok,
-    async_test,
-    endpoint_entry,
-    ok_response,
-    request_bytes,
-    run_endpoint,
-    unreachable_address,
-)
+from tests.sidecar.event_loop import async_test
+from tests.sidecar.messages import ok_response, request_bytes
 from tests.sidecar.process_harness import (
     REPOSITORY_ROOT,
     ConfigurationFile,
@@ -35,6 +27,13 @@
     split_address,
     start_process,
 )
+from tests.sidecar.scripted_endpoint import (
+    ReceivedRequest,
+    ScriptedEndpoint,
+    answer_ok,
+    run_endpoint,
+    unreachable_address,
+)
 
 MAX_DESCRIPTORS = 256
 
--- a/tests/sidecar/requests/test_attempt_guard.py
+++ b/tests/sidecar/requests/test_attempt_guard.py
@@ -24,7 +24,7 @@
 from balancer.sidecar.runtime.timers import OneShotTimer
 from balancer.sidecar.upstream.attempt import Attempt
 from balancer.time_units import SECOND_NS
-from tests.sidecar.harness import async_test
+from tests.sidecar.event_loop import async_test
 
 WINDOW_NS = SECOND_NS // 2
 CLASSES = {
--- a/tests/sidecar/requests/test_dispatcher.py
+++ b/tests/sidecar/requests/test_dispatcher.py
@@ -27,23 +27,18 @@
 from balancer.sidecar.requests.ports import Policy
 from balancer.sidecar.runtime.metrics import Invariant, Metric
 from balancer.time_units import MILLISECOND_NS, SECOND_NS
-from tests.sidecar.harness import (
+from tests.sidecar.configuration_documents import change_classes
+from tests.sidecar.event_loop import async_test, wait_until
+from tests.sidecar.messages import ok_response, request_bytes, status_response
+from tests.sidecar.runtime.clock_control import stop_clock
+from tests.sidecar.scripted_endpoint import (
     ReceivedRequest,
-    Sidecar,
     answer_ok,
-    async_test,
-    change_classes,
-    is_attempt_completed,
     never_answer,
-    ok_response,
-    request_bytes,
     run_endpoint,
-    run_sidecar,
-    status_response,
     unreachable_address,
-    wait_until,
 )
-from tests.sidecar.runtime.clock_control import stop_clock
+from tests.sidecar.sidecar_under_test import Sidecar, is_attempt_completed, run_sidecar
 
 
 @pytest.mark.parametrize(("class_name", "status_code"), [("read", 503), ("post", 504)])
--- a/tests/sidecar/requests/test_ledger.py
+++ b/tests/sidecar/requests/test_ledger.py
@@ -6,22 +6,12 @@
 
 from balancer.policy_api import AttemptOutcome, EndpointUpdateKind
 from balancer.time_units import SECOND_NS
-from tests.sidecar.harness import (
-    ReceivedRequest,
-    answer_ok,
-    async_test,
-    endpoint_entry,
-    endpoint_list,
-    is_attempt_completed,
-    ok_response,
-    request_bytes,
-    run_endpoint,
-    run_sidecar,
-    status_response,
-    unreachable_address,
-    wait_until,
-)
+from tests.sidecar.configuration_documents import endpoint_entry, endpoint_list
+from tests.sidecar.event_loop import async_test, wait_until
+from tests.sidecar.messages import ok_response, request_bytes, status_response
 from tests.sidecar.runtime.clock_control import advance_clock, stop_clock
+from tests.sidecar.scripted_endpoint import ReceivedRequest, answer_ok, run_endpoint, unreachable_address
+from tests.sidecar.sidecar_under_test import is_attempt_completed, run_sidecar
 from tests.sidecar.upstream.harness import ConnectGate
 
 
--- a/tests/sidecar/test_configuration.py
+++ b/tests/sidecar/test_configuration.py
@@ -12,7 +12,7 @@
 from balancer.settings_parser import SettingsError
 from balancer.sidecar import configuration as configuration_module
 from balancer.sidecar.configuration import load_configuration, parse_configuration
-from tests.sidecar.harness import SETTINGS, configuration
+from tests.sidecar.configuration_documents import SETTINGS, configuration
 
 
 @pytest.mark.parametrize(
--- a/tests/sidecar/test_configuration_over_sockets.py
+++ b/tests/sidecar/test_configuration_over_sockets.py
@@ -3,7 +3,8 @@
 from __future__ import annotations
 
 from balancer.sidecar.configuration import parse_configuration
-from tests.sidecar.harness import SETTINGS, configuration, unreachable_address
+from tests.sidecar.configuration_documents import SETTINGS, configuration
+from tests.sidecar.scripted_endpoint import unreachable_address
 
 
 def test_connection_carries_one_request_at_a_time_whatever_the_settings_say() -> None:
--- a/tests/sidecar/test_gossip_transport.py
+++ b/tests/sidecar/test_gossip_transport.py
@@ -9,7 +9,8 @@
 
 from balancer.policy_api import GossipReceived, SendGossip
 from balancer.sidecar.gossip_transport import GossipTransport
-from tests.sidecar.harness import async_test, run_sidecar
+from tests.sidecar.event_loop import async_test
+from tests.sidecar.sidecar_under_test import run_sidecar
 
 
 @contextlib.contextmanager
--- a/tests/sidecar/upstream/harness.py
+++ b/tests/sidecar/upstream/harness.py
@@ -25,17 +25,11 @@
 from balancer.sidecar.upstream.manager import UpstreamManager
 from balancer.sidecar.upstream.pool import EndpointPool
 from balancer.time_units import SECOND_NS
-from tests.sidecar.harness import (
-    ReceivedRequest,
-    Script,
-    ScriptedEndpoint,
-    Sidecar,
-    configuration,
-    endpoint_entry,
-    endpoint_list,
-    request_bytes,
-    wait_until,
-)
+from tests.sidecar.configuration_documents import configuration, endpoint_entry, endpoint_list
+from tests.sidecar.event_loop import wait_until
+from tests.sidecar.messages import request_bytes
+from tests.sidecar.scripted_endpoint import ReceivedRequest, Script, ScriptedEndpoint
+from tests.sidecar.sidecar_under_test import Sidecar
 
 HEAD_WITHOUT_LENGTH = b"HTTP/1.1 200 OK\r\nX-Shard: 7\r\n\r\n"
 """The head of a response whose body ends with the connection."""
@@ -266,5 +260,5 @@
 
 def move_endpoint(sidecar: Sidecar, address: str, health: str = "up") -> None:
     """Give the sidecar a delta with this address and health of the endpoint s-0."""
-    document = endpoint_list(2, endpoint_entry("s-0", address, health), whole=False)
+    document = endpoint_list(2, endpoint_entry("s-0", address, health), is_snapshot=False)
     sidecar.update_endpoints(document, EndpointUpdateKind.DELTA)
--- a/tests/sidecar/upstream/test_attempt_connecting.py
+++ b/tests/sidecar/upstream/test_attempt_connecting.py
@@ -10,19 +10,11 @@
 from balancer.sidecar.discovery.endpoint_list import derive_endpoint_id
 from balancer.sidecar.upstream.pool import CONNECTION_REUSE_DELAY_NS
 from balancer.time_units import SECOND_NS
-from tests.sidecar.harness import (
-    SETTINGS,
-    ReceivedRequest,
-    answer_ok,
-    async_test,
-    change_classes,
-    is_attempt_completed,
-    ok_response,
-    request_bytes,
-    run_endpoint,
-    run_sidecar,
-    wait_until,
-)
+from tests.sidecar.configuration_documents import SETTINGS, change_classes
+from tests.sidecar.event_loop import async_test, wait_until
+from tests.sidecar.messages import ok_response, request_bytes
+from tests.sidecar.scripted_endpoint import ReceivedRequest, answer_ok, run_endpoint
+from tests.sidecar.sidecar_under_test import is_attempt_completed, run_sidecar
 from tests.sidecar.upstream.harness import (
     ConnectGate,
     ExpiredTime,
--- a/tests/sidecar/upstream/test_attempt_outcome.py
+++ b/tests/sidecar/upstream/test_attempt_outcome.py
@@ -11,19 +11,10 @@
 from balancer.sidecar.http.message import MAX_HEAD_BYTES, MAX_RESPONSE_BODY_BYTES
 from balancer.sidecar.http.outbound_connection import OutboundConnection
 from balancer.sidecar.upstream.pool import EndpointPool
-from tests.sidecar.harness import (
-    Script,
-    answer_ok,
-    async_test,
-    is_attempt_completed,
-    ok_response,
-    request_bytes,
-    run_endpoint,
-    run_sidecar,
-    status_response,
-    unreachable_address,
-    wait_until,
-)
+from tests.sidecar.event_loop import async_test, wait_until
+from tests.sidecar.messages import ok_response, request_bytes, status_response
+from tests.sidecar.scripted_endpoint import Script, answer_ok, run_endpoint, unreachable_address
+from tests.sidecar.sidecar_under_test import is_attempt_completed, run_sidecar
 from tests.sidecar.upstream.harness import (
     CHUNKED_HEAD,
     HEAD_WITHOUT_LENGTH,
--- a/tests/sidecar/upstream/test_attempt_partly_sent.py
+++ b/tests/sidecar/upstream/test_attempt_partly_sent.py
@@ -14,15 +14,9 @@
 from balancer.sidecar.upstream.manager import UpstreamManager
 from balancer.sidecar.upstream.pool import EndpointPool
 from balancer.time_units import SECOND_NS
-from tests.sidecar.harness import (
-    TEST_TIMEOUT_SECONDS,
-    Sidecar,
-    async_test,
-    is_attempt_completed,
-    request_bytes,
-    run_sidecar,
-    wait_until,
-)
+from tests.sidecar.event_loop import TEST_TIMEOUT_SECONDS, async_test, wait_until
+from tests.sidecar.messages import request_bytes
+from tests.sidecar.sidecar_under_test import Sidecar, is_attempt_completed, run_sidecar
 from tests.sidecar.upstream.harness import (
     ExpiredTime,
     start_attempt,
--- a/tests/sidecar/upstream/test_connection_acquisition.py
+++ b/tests/sidecar/upstream/test_connection_acquisition.py
@@ -5,7 +5,8 @@
 from balancer.sidecar.upstream.connection_acquisition import ConnectionAcquisition
 from balancer.sidecar.upstream.pool import CONNECTION_REUSE_DELAY_NS
 from balancer.time_units import SECOND_NS
-from tests.sidecar.harness import answer_ok, async_test, run_endpoint
+from tests.sidecar.event_loop import async_test
+from tests.sidecar.scripted_endpoint import answer_ok, run_endpoint
 from tests.sidecar.upstream.harness import manage_endpoint
 
 RELEASED_AT_NS = SECOND_NS
--- a/tests/sidecar/upstream/test_health_check.py
+++ b/tests/sidecar/upstream/test_health_check.py
@@ -6,14 +6,10 @@
 
 from balancer.policy_api import AttemptOutcome, Event, HealthCheckCompleted, StartHealthCheck
 from balancer.sidecar.discovery.endpoint_list import derive_endpoint_id
-from tests.sidecar.harness import (
-    ReceivedRequest,
-    async_test,
-    ok_response,
-    run_endpoint,
-    run_sidecar,
-    unreachable_address,
-)
+from tests.sidecar.event_loop import async_test
+from tests.sidecar.messages import ok_response
+from tests.sidecar.scripted_endpoint import ReceivedRequest, run_endpoint, unreachable_address
+from tests.sidecar.sidecar_under_test import run_sidecar
 
 
 def is_health_check_of(endpoint_name: str) -> Callable[[Event], bool]:
--- a/tests/sidecar/upstream/test_manager.py
+++ b/tests/sidecar/upstream/test_manager.py
@@ -14,20 +14,11 @@
 from balancer.policy_api import AttemptOutcome, EndpointUpdateKind
 from balancer.sidecar.http.message import MAX_RESPONSE_BODY_BYTES
 from balancer.sidecar.http.outbound_connection import OutboundConnection
-from tests.sidecar.harness import (
-    SETTINGS,
-    answer_ok,
-    async_test,
-    endpoint_entry,
-    endpoint_list,
-    is_attempt_completed,
-    never_answer,
-    ok_response,
-    request_bytes,
-    run_endpoint,
-    run_sidecar,
-    wait_until,
-)
+from tests.sidecar.configuration_documents import SETTINGS, endpoint_entry, endpoint_list
+from tests.sidecar.event_loop import async_test, wait_until
+from tests.sidecar.messages import ok_response, request_bytes
+from tests.sidecar.scripted_endpoint import answer_ok, never_answer, run_endpoint
+from tests.sidecar.sidecar_under_test import is_attempt_completed, run_sidecar
 from tests.sidecar.upstream.harness import (
     HEAD_WITHOUT_LENGTH,
     ConnectionEnd,
@@ -110,7 +101,7 @@
         run_sidecar(silent.address, limits={"sockets": 2}) as sidecar,
     ):
         upstream = sidecar.dispatcher.upstream
-        delta = endpoint_list(2, endpoint_entry("s-1", answering.address), whole=False)
+        delta = endpoint_list(2, endpoint_entry("s-1", answering.address), is_snapshot=False)
         sidecar.update_endpoints(delta, EndpointUpdateKind.DELTA)
         outcomes = OutcomeQueue()
         start_attempt(upstream, "s-1", outcomes.record)
--- a/tests/sidecar/upstream/test_pool.py
+++ b/tests/sidecar/upstream/test_pool.py
@@ -9,16 +9,10 @@
 from balancer.policy_api import ClientDisconnected, RequestReceived
 from balancer.sidecar.upstream.pool import CONNECTION_REUSE_DELAY_NS, SURPLUS_IDLE_NS
 from balancer.time_units import SECOND_NS
-from tests.sidecar.harness import (
-    ReceivedRequest,
-    answer_ok,
-    async_test,
-    ok_response,
-    request_bytes,
-    run_endpoint,
-    run_sidecar,
-    wait_until,
-)
+from tests.sidecar.event_loop import async_test, wait_until
+from tests.sidecar.messages import ok_response, request_bytes
+from tests.sidecar.scripted_endpoint import ReceivedRequest, answer_ok, run_endpoint
+from tests.sidecar.sidecar_under_test import run_sidecar
 from tests.sidecar.upstream.harness import (
     HEAD_WITHOUT_LENGTH,
     ConnectGate,
