--- a/balancer/policy/admission.py
+++ b/balancer/policy/admission.py
@@ -77,7 +77,8 @@
         mass_to_shed = self._mass_to_shed(ranges, share)
         for level_range in ranges:
             low = max(self.threshold, level_range.first_level)
-            mass = level_range.mass_between(low, level_range.end_level)
+            end_level = level_range.end_level
+            mass = level_range.mass_between(low, end_level)
             if mass <= NEGLIGIBLE_MASS:
                 continue
             if mass >= mass_to_shed:
@@ -85,7 +86,7 @@
                 self.threshold = low + levels
                 return
             mass_to_shed -= mass
-            self.threshold = float(level_range.end_level)
+            self.threshold = float(end_level)
 
     def lower_threshold(self, share: float) -> None:
         """Lower the threshold until this share of the arrivals is admitted again, by at least one level."""
--- a/balancer/policy/arrival_histogram.py
+++ b/balancer/policy/arrival_histogram.py
@@ -26,7 +26,7 @@
 
     def share_above(self, threshold: float) -> float:
         """Return the share of the arrivals whose priority is at or above a threshold."""
-        return min(1.0, max(0.0, (self.end_level - threshold) / self.level_count))
+        return min(1.0, max(0.0, (self.first_level + self.level_count - threshold) / self.level_count))
 
     def mass_between(self, low: float, high: float) -> float:
         """Return the number of arrivals between two priorities."""
