--- a/tests/sidecar/discovery/test_wall_clock_steps.py
+++ b/tests/sidecar/discovery/test_wall_clock_steps.py
@@ -39,7 +39,7 @@
 
 
 class SteppedWallClock:
-    """Replaces `time.time_ns` by a clock that only steps, and `time.monotonic_ns` by one that stands still."""
+    """Replaces `time.time_ns` by a clock that only steps, and `time.monotonic_ns` by one that is stopped."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self._offset_ns = 0
