--- a/balancer/policy/balancer.py
+++ b/balancer/policy/balancer.py
@@ -8,32 +8,32 @@
 from random import Random
 
 from balancer import policy_api as api
-from balancer.policy.admission import AdmissionControl
-from balancer.policy.attempt_accounting import AttemptAccounting
-from balancer.policy.attempt_completions import AttemptCompletionHandler
-from balancer.policy.attempt_dispatcher import AttemptDispatcher
-from balancer.policy.connection_budget import ConnectionBudget
-from balancer.policy.control_cycle import ControlCycle
-from balancer.policy.discovery_polling import RETRY_MIN_DELAY
-from balancer.policy.endpoint_maintenance import EndpointMaintenance
-from balancer.policy.endpoint_picker import EndpointPicker
-from balancer.policy.gossip import Gossip
-from balancer.policy.health_checks import HealthCheckHandler
-from balancer.policy.hung_attempts import HungAttempts
-from balancer.policy.load_probing import LoadProbing
-from balancer.policy.measurement_cycle import CYCLE_NS
-from balancer.policy.membership import Membership
-from balancer.policy.outcome_recorder import OutcomeRecorder
-from balancer.policy.outlier_detection import OutlierDetector
-from balancer.policy.overload import OverloadDetector
-from balancer.policy.probe_rounds import ProbeRounds
-from balancer.policy.request_arrivals import RequestArrivalHandler
-from balancer.policy.request_state import RequestState
-from balancer.policy.retry import RetryPolicy
-from balancer.policy.running_attempts import RunningAttemptSampler
-from balancer.policy.subset import SubsetSelector
+from balancer.policy.endpoints.discovery_polling import RETRY_MIN_DELAY
+from balancer.policy.endpoints.endpoint_maintenance import EndpointMaintenance
+from balancer.policy.endpoints.health_checks import HealthCheckHandler
+from balancer.policy.endpoints.membership import Membership
+from balancer.policy.endpoints.outlier_detection import OutlierDetector
+from balancer.policy.overload.admission import AdmissionControl
+from balancer.policy.overload.control_cycle import ControlCycle
+from balancer.policy.overload.detector import OverloadDetector
+from balancer.policy.overload.gossip import Gossip
+from balancer.policy.overload.measurement_cycle import CYCLE_NS
+from balancer.policy.requests.attempt_completions import AttemptCompletionHandler
+from balancer.policy.requests.attempt_dispatcher import AttemptDispatcher
+from balancer.policy.requests.hung_attempts import HungAttempts
+from balancer.policy.requests.outcome_recorder import OutcomeRecorder
+from balancer.policy.requests.request_arrivals import RequestArrivalHandler
+from balancer.policy.requests.request_state import RequestState
+from balancer.policy.requests.retry import RetryPolicy
+from balancer.policy.requests.running_attempts import RunningAttemptSampler
+from balancer.policy.selection.attempt_accounting import AttemptAccounting
+from balancer.policy.selection.connection_budget import ConnectionBudget
+from balancer.policy.selection.endpoint_picker import EndpointPicker
+from balancer.policy.selection.load_probing import LoadProbing
+from balancer.policy.selection.probe_rounds import ProbeRounds
+from balancer.policy.selection.subset import SubsetSelector
+from balancer.policy.selection.zone_router import ZoneRouter
 from balancer.policy.timer_tokens import CONTROL_CYCLE_TOKEN, TimerToken, decode_probe_round
-from balancer.policy.zone_router import ZoneRouter
 
 
 class Balancer:
--- /dev/null
+++ b/balancer/policy/endpoints/__init__.py
@@ -0,0 +1,1 @@
+"""What is known of each endpoint, and which endpoints there are."""
--- a/balancer/policy/endpoint_maintenance.py
+++ b/balancer/policy/endpoints/endpoint_maintenance.py
@@ -1,10 +1,10 @@
 """The periodic maintenance of endpoints: subsets, idle connections, ejections and the endpoint list."""
 
 from balancer import policy_api as api
-from balancer.policy.attempt_accounting import AttemptAccounting
-from balancer.policy.membership import Membership
-from balancer.policy.outlier_detection import OutlierDetector
-from balancer.policy.subset import SubsetSelector
+from balancer.policy.endpoints.membership import Membership
+from balancer.policy.endpoints.outlier_detection import OutlierDetector
+from balancer.policy.selection.attempt_accounting import AttemptAccounting
+from balancer.policy.selection.subset import SubsetSelector
 
 
 class EndpointMaintenance:
--- a/balancer/policy/endpoint_ranking.py
+++ b/balancer/policy/endpoints/endpoint_ranking.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterable
 from math import log
 
-from balancer.policy.endpoint_state import EndpointState
+from balancer.policy.endpoints.endpoint_state import EndpointState
 from balancer.policy_api import EndpointHealth, EndpointId
 
 _HASH_RANGE = 2**64
--- a/balancer/policy/endpoint_state.py
+++ b/balancer/policy/endpoints/endpoint_state.py
@@ -2,8 +2,12 @@
 
 from __future__ import annotations
 
-from balancer.policy.ejection_state import EjectionState
-from balancer.policy.endpoint_estimates import AnswerHistory, FailureRateEstimate, LatencyRatioEstimate
+from balancer.policy.endpoints.ejection_state import EjectionState
+from balancer.policy.endpoints.endpoint_estimates import (
+    AnswerHistory,
+    FailureRateEstimate,
+    LatencyRatioEstimate,
+)
 from balancer.policy.hashing import mix64
 from balancer.policy_api import DeduplicationScope, Endpoint
 
--- a/balancer/policy/health_checks.py
+++ b/balancer/policy/endpoints/health_checks.py
@@ -1,10 +1,10 @@
 """The results of health checks: they end ejections and answer the probes of requests."""
 
-from balancer.policy.load_probing import LoadProbing
-from balancer.policy.membership import Membership
-from balancer.policy.outlier_detection import OutlierDetector
-from balancer.policy.probe_rounds import ProbeRounds
-from balancer.policy.subset import SubsetSelector
+from balancer.policy.endpoints.membership import Membership
+from balancer.policy.endpoints.outlier_detection import OutlierDetector
+from balancer.policy.selection.load_probing import LoadProbing
+from balancer.policy.selection.probe_rounds import ProbeRounds
+from balancer.policy.selection.subset import SubsetSelector
 from balancer.policy_api import AttemptOutcome, HealthCheckCompleted
 
 
--- a/balancer/policy/membership.py
+++ b/balancer/policy/endpoints/membership.py
@@ -2,9 +2,9 @@
 
 from random import Random
 
-from balancer.policy.discovery_polling import DiscoveryPolling
-from balancer.policy.endpoint_ranking import rank_endpoints
-from balancer.policy.endpoint_state import EndpointState
+from balancer.policy.endpoints.discovery_polling import DiscoveryPolling
+from balancer.policy.endpoints.endpoint_ranking import rank_endpoints
+from balancer.policy.endpoints.endpoint_state import EndpointState
 from balancer.policy.hashing import mix64
 from balancer.policy_api import (
     Endpoint,
--- a/balancer/policy/outlier_detection.py
+++ b/balancer/policy/endpoints/outlier_detection.py
@@ -4,10 +4,10 @@
 from math import log
 from random import Random
 
-from balancer.policy.endpoint_estimates import ESTIMATE_HALF_LIFE_NS
-from balancer.policy.endpoint_state import EndpointState
-from balancer.policy.measurement_cycle import CYCLE_NS
-from balancer.policy.subset import SubsetSelector
+from balancer.policy.endpoints.endpoint_estimates import ESTIMATE_HALF_LIFE_NS
+from balancer.policy.endpoints.endpoint_state import EndpointState
+from balancer.policy.overload.measurement_cycle import CYCLE_NS
+from balancer.policy.selection.subset import SubsetSelector
 from balancer.policy_api import AttemptOutcome, EndpointHealth, EndpointId, Settings
 from balancer.time_units import SECOND_NS
 
--- /dev/null
+++ b/balancer/policy/overload/__init__.py
@@ -0,0 +1,1 @@
+"""Overload control: measurement, detection, admission, spillover, and gossip of what was measured."""
--- a/balancer/policy/admission.py
+++ b/balancer/policy/overload/admission.py
@@ -7,8 +7,8 @@
 
 from collections.abc import Sequence
 
-from balancer.policy.arrival_histogram import ArrivalHistogram, LevelRange
-from balancer.policy.priority_levels import USER_LEVELS, PriorityLevels
+from balancer.policy.overload.arrival_histogram import ArrivalHistogram, LevelRange
+from balancer.policy.overload.priority_levels import USER_LEVELS, PriorityLevels
 from balancer.policy_api import RequestReceived, Settings
 
 MIN_RAISE = 0.05
--- a/balancer/policy/arrival_histogram.py
+++ b/balancer/policy/overload/arrival_histogram.py
@@ -2,7 +2,7 @@
 
 from typing import NamedTuple
 
-from balancer.policy.priority_levels import USER_LEVELS
+from balancer.policy.overload.priority_levels import USER_LEVELS
 
 HISTOGRAM_DECAY = 0.9
 """Share of the arrivals that is kept from cycle to cycle: a memory of about 2.5 s."""
--- a/balancer/policy/control_cycle.py
+++ b/balancer/policy/overload/control_cycle.py
@@ -4,13 +4,13 @@
 """
 
 from balancer import policy_api as api
-from balancer.policy.admission import AdmissionControl
-from balancer.policy.connection_budget import ConnectionBudget
-from balancer.policy.gossip import Gossip
-from balancer.policy.measurement_cycle import MAX_ATTEMPTS_PER_CYCLE
-from balancer.policy.overload import OverloadDetector
-from balancer.policy.running_attempts import RunningAttemptSampler
-from balancer.policy.subset import SubsetSelector
+from balancer.policy.overload.admission import AdmissionControl
+from balancer.policy.overload.detector import OverloadDetector
+from balancer.policy.overload.gossip import Gossip
+from balancer.policy.overload.measurement_cycle import MAX_ATTEMPTS_PER_CYCLE
+from balancer.policy.requests.running_attempts import RunningAttemptSampler
+from balancer.policy.selection.connection_budget import ConnectionBudget
+from balancer.policy.selection.subset import SubsetSelector
 
 
 class ControlCycle:
--- a/balancer/policy/overload.py
+++ b/balancer/policy/overload/detector.py
@@ -3,12 +3,12 @@
 Latencies, queueing delays, the measurement cycle and the spillover to other zones have modules of their own.
 """
 
-from balancer.policy.endpoint_state import EndpointState
-from balancer.policy.latency_tracker import LatencyTracker
-from balancer.policy.measurement_cycle import MeasurementCycle
-from balancer.policy.queueing_delay import QueueingDelayEstimator
-from balancer.policy.request_state import RequestState
-from balancer.policy.spillover import CrossZoneSpillover
+from balancer.policy.endpoints.endpoint_state import EndpointState
+from balancer.policy.overload.latency_tracker import LatencyTracker
+from balancer.policy.overload.measurement_cycle import MeasurementCycle
+from balancer.policy.overload.queueing_delay import QueueingDelayEstimator
+from balancer.policy.overload.spillover import CrossZoneSpillover
+from balancer.policy.requests.request_state import RequestState
 from balancer.policy_api import Settings
 
 MIN_SAMPLES = 3.0
--- a/balancer/policy/gossip.py
+++ b/balancer/policy/overload/gossip.py
@@ -3,8 +3,8 @@
 from random import Random
 
 from balancer.gossip_codec import MAX_VALUE, GossipCodec, GossipMessage
-from balancer.policy.admission import AdmissionControl
-from balancer.policy.overload import OverloadDetector
+from balancer.policy.overload.admission import AdmissionControl
+from balancer.policy.overload.detector import OverloadDetector
 from balancer.policy_api import GossipReceived, SendGossip, Settings
 
 KEPT_SHARE = 1 / 2
--- a/balancer/policy/latency_tracker.py
+++ b/balancer/policy/overload/latency_tracker.py
@@ -1,7 +1,7 @@
 """Latencies of each request class: their mean, and the baseline that an answer takes without queueing."""
 
 from balancer.gossip_codec import LatencySamples
-from balancer.policy.request_state import RequestState
+from balancer.policy.requests.request_state import RequestState
 from balancer.policy_api import RequestClass
 
 LATENCY_DECAY = 0.95
--- a/balancer/policy/queueing_delay.py
+++ b/balancer/policy/overload/queueing_delay.py
@@ -6,8 +6,8 @@
 from typing import NamedTuple
 
 from balancer.gossip_codec import QueueingEvidence
-from balancer.policy.endpoint_state import EndpointState
-from balancer.policy.request_state import RequestState
+from balancer.policy.endpoints.endpoint_state import EndpointState
+from balancer.policy.requests.request_state import RequestState
 from balancer.policy_api import Settings
 
 MIN_COUNT = 0.5
--- a/balancer/policy/spillover.py
+++ b/balancer/policy/overload/spillover.py
@@ -1,7 +1,7 @@
 """Cross-zone spillover: how much traffic goes to other zones while they queue less than the local one."""
 
-from balancer.policy.measurement_cycle import CYCLE_NS
-from balancer.policy.queueing_delay import ZoneLoads
+from balancer.policy.overload.measurement_cycle import CYCLE_NS
+from balancer.policy.overload.queueing_delay import ZoneLoads
 from balancer.policy_api import RequestClass, Settings
 
 SPILLOVER_STEP = 0.025
--- a/balancer/policy/attempt_completions.py
+++ b/balancer/policy/requests/attempt_completions.py
@@ -1,13 +1,13 @@
 """The end of attempts: their outcome is recorded, then the request is retried or gets its final answer."""
 
 from balancer import policy_api as api
-from balancer.policy.attempt_accounting import AttemptAccounting
-from balancer.policy.attempt_dispatcher import AttemptDispatcher
-from balancer.policy.membership import Membership
-from balancer.policy.outcome_recorder import OutcomeRecorder
-from balancer.policy.request_state import RequestState
-from balancer.policy.retry import RetryPolicy
-from balancer.policy.zone_router import ZoneRouter
+from balancer.policy.endpoints.membership import Membership
+from balancer.policy.requests.attempt_dispatcher import AttemptDispatcher
+from balancer.policy.requests.outcome_recorder import OutcomeRecorder
+from balancer.policy.requests.request_state import RequestState
+from balancer.policy.requests.retry import RetryPolicy
+from balancer.policy.selection.attempt_accounting import AttemptAccounting
+from balancer.policy.selection.zone_router import ZoneRouter
 
 
 class AttemptCompletionHandler:
--- a/balancer/policy/attempt_dispatcher.py
+++ b/balancer/policy/requests/attempt_dispatcher.py
@@ -1,13 +1,13 @@
 """The start of attempts, and the final answers to requests that get no further attempt."""
 
 from balancer import policy_api as api
-from balancer.policy.attempt_accounting import AttemptAccounting
-from balancer.policy.control_cycle import ControlCycle
-from balancer.policy.endpoint_state import EndpointState
-from balancer.policy.overload import OverloadDetector
-from balancer.policy.request_state import RequestState
-from balancer.policy.retry import RetryPolicy
-from balancer.policy.subset import SubsetSelector
+from balancer.policy.endpoints.endpoint_state import EndpointState
+from balancer.policy.overload.control_cycle import ControlCycle
+from balancer.policy.overload.detector import OverloadDetector
+from balancer.policy.requests.request_state import RequestState
+from balancer.policy.requests.retry import RetryPolicy
+from balancer.policy.selection.attempt_accounting import AttemptAccounting
+from balancer.policy.selection.subset import SubsetSelector
 
 
 class AttemptDispatcher:
--- a/balancer/policy/hung_attempts.py
+++ b/balancer/policy/requests/hung_attempts.py
@@ -2,11 +2,11 @@
 
 from random import Random
 
-from balancer.policy.endpoint_state import EndpointState
-from balancer.policy.measurement_cycle import CYCLE_NS
-from balancer.policy.overload import OverloadDetector
-from balancer.policy.request_state import RequestState
-from balancer.policy.retry import RetryPolicy
+from balancer.policy.endpoints.endpoint_state import EndpointState
+from balancer.policy.overload.detector import OverloadDetector
+from balancer.policy.overload.measurement_cycle import CYCLE_NS
+from balancer.policy.requests.request_state import RequestState
+from balancer.policy.requests.retry import RetryPolicy
 from balancer.policy_api import AttemptOutcome, Idempotency, Settings
 
 MIN_HUNG_DELAY = 0.5
--- a/balancer/policy/outcome_recorder.py
+++ b/balancer/policy/requests/outcome_recorder.py
@@ -1,13 +1,13 @@
 """Learning from the outcomes of attempts: load, failure rates, ejections and slow-start allowances."""
 
-from balancer.policy import slow_start
-from balancer.policy.connection_budget import ConnectionBudget
-from balancer.policy.endpoint_state import EndpointState
-from balancer.policy.hung_attempts import HungAttempts, is_overtaken
-from balancer.policy.outlier_detection import OutlierDetector
-from balancer.policy.overload import OverloadDetector
-from balancer.policy.request_state import RequestState
-from balancer.policy.subset import SubsetSelector
+from balancer.policy.endpoints.endpoint_state import EndpointState
+from balancer.policy.endpoints.outlier_detection import OutlierDetector
+from balancer.policy.overload.detector import OverloadDetector
+from balancer.policy.requests.hung_attempts import HungAttempts, is_overtaken
+from balancer.policy.requests.request_state import RequestState
+from balancer.policy.selection.connection_budget import ConnectionBudget
+from balancer.policy.selection.slow_start import capacity
+from balancer.policy.selection.subset import SubsetSelector
 from balancer.policy_api import AttemptCompleted, AttemptOutcome, Settings
 
 MAX_DELAY = 2.0
@@ -97,5 +97,5 @@
         endpoint.record_outcome(failed, now_ns)
         if failed:
             self._outliers.record_failure(endpoint, outcome, now_ns)
-        elif slow_start.capacity(self._settings, endpoint, now_ns) >= 1:
+        elif capacity(self._settings, endpoint, now_ns) >= 1:
             self._subsets.zone_of(endpoint).allowance.record_answer()
--- a/balancer/policy/request_arrivals.py
+++ b/balancer/policy/requests/request_arrivals.py
@@ -1,13 +1,13 @@
 """The arrival of requests: admission control and the first attempt."""
 
 from balancer import policy_api as api
-from balancer.policy.admission import AdmissionControl
-from balancer.policy.attempt_dispatcher import AttemptDispatcher
-from balancer.policy.overload import OverloadDetector
-from balancer.policy.probe_rounds import ProbeRounds
-from balancer.policy.request_state import RequestState
-from balancer.policy.retry import RetryPolicy
-from balancer.policy.zone_router import ZoneRouter
+from balancer.policy.overload.admission import AdmissionControl
+from balancer.policy.overload.detector import OverloadDetector
+from balancer.policy.requests.attempt_dispatcher import AttemptDispatcher
+from balancer.policy.requests.request_state import RequestState
+from balancer.policy.requests.retry import RetryPolicy
+from balancer.policy.selection.probe_rounds import ProbeRounds
+from balancer.policy.selection.zone_router import ZoneRouter
 
 
 class RequestArrivalHandler:
--- a/balancer/policy/request_state.py
+++ b/balancer/policy/requests/request_state.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from balancer.policy.endpoint_state import EndpointState
+from balancer.policy.endpoints.endpoint_state import EndpointState
 from balancer.policy_api import Idempotency, RequestClass, RequestReceived
 from balancer.time_units import HOUR_NS
 
--- a/balancer/policy/retry.py
+++ b/balancer/policy/requests/retry.py
@@ -1,9 +1,9 @@
 """Retries: the retry budget, whether a further attempt is safe and useful, and the final answer."""
 
 from balancer import policy_api as api
-from balancer.policy.load_probing import LoadProbing
-from balancer.policy.overload import OverloadDetector
-from balancer.policy.request_state import RequestState
+from balancer.policy.overload.detector import OverloadDetector
+from balancer.policy.requests.request_state import RequestState
+from balancer.policy.selection.load_probing import LoadProbing
 from balancer.policy_api import AttemptOutcome
 from balancer.time_units import SECOND_NS
 
--- a/balancer/policy/running_attempts.py
+++ b/balancer/policy/requests/running_attempts.py
@@ -1,9 +1,9 @@
 """The attempts in progress as samples of the queueing delay."""
 
 from balancer import policy_api as api
-from balancer.policy.hung_attempts import HungAttempts, is_overtaken
-from balancer.policy.overload import OverloadDetector
-from balancer.policy.request_state import RequestState
+from balancer.policy.overload.detector import OverloadDetector
+from balancer.policy.requests.hung_attempts import HungAttempts, is_overtaken
+from balancer.policy.requests.request_state import RequestState
 
 MAX_RUNNING_DELAY = 1.0
 """Largest delay (share of the slack) recorded for an attempt in progress, as for one that timed out."""
--- a/balancer/policy/attempt_accounting.py
+++ b/balancer/policy/selection/attempt_accounting.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Container
 
-from balancer.policy.endpoint_state import EndpointState
+from balancer.policy.endpoints.endpoint_state import EndpointState
 from balancer.policy_api import EndpointHealth, EndpointId
 
 PEAK_DECAY = 0.99
--- a/balancer/policy/endpoint_picker.py
+++ b/balancer/policy/selection/endpoint_picker.py
@@ -2,13 +2,13 @@
 
 from heapq import nsmallest
 
-from balancer.policy.endpoint_state import EndpointState
+from balancer.policy.endpoints.endpoint_state import EndpointState
 from balancer.policy.hashing import mix64
-from balancer.policy.latency_tracker import LatencyTracker
-from balancer.policy.overload import MIN_THRESHOLD
-from balancer.policy.request_state import DeduplicationBinding, RequestState
-from balancer.policy.slow_start import capacity
-from balancer.policy.subset import SubsetSelector, ZoneSubset
+from balancer.policy.overload.detector import MIN_THRESHOLD
+from balancer.policy.overload.latency_tracker import LatencyTracker
+from balancer.policy.requests.request_state import DeduplicationBinding, RequestState
+from balancer.policy.selection.slow_start import capacity
+from balancer.policy.selection.subset import SubsetSelector, ZoneSubset
 from balancer.policy_api import Idempotency, Settings
 
 USUAL_FAILURE_RATE = 0.3
--- a/balancer/policy/load_probing.py
+++ b/balancer/policy/selection/load_probing.py
@@ -2,10 +2,10 @@
 
 from random import Random
 
-from balancer.policy.endpoint_picker import EndpointPicker
-from balancer.policy.endpoint_state import EndpointState
-from balancer.policy.request_state import LoadProbe, RequestState
-from balancer.policy.subset import SubsetSelector, ZoneSubset
+from balancer.policy.endpoints.endpoint_state import EndpointState
+from balancer.policy.requests.request_state import LoadProbe, RequestState
+from balancer.policy.selection.endpoint_picker import EndpointPicker
+from balancer.policy.selection.subset import SubsetSelector, ZoneSubset
 from balancer.policy.timer_tokens import encode_probe_round
 from balancer.policy_api import Action, EndpointId, SetTimer, Settings, StartHealthCheck
 from balancer.time_units import SECOND_NS
--- a/balancer/policy/probe_rounds.py
+++ b/balancer/policy/selection/probe_rounds.py
@@ -1,13 +1,13 @@
 """The rounds of load probing in the life cycle of a request: their start, the answers and their end."""
 
 from balancer import policy_api as api
-from balancer.policy.attempt_dispatcher import AttemptDispatcher
-from balancer.policy.endpoint_state import EndpointState
-from balancer.policy.load_probing import LoadProbing
-from balancer.policy.request_state import RequestState
-from balancer.policy.subset import SubsetSelector
+from balancer.policy.endpoints.endpoint_state import EndpointState
+from balancer.policy.requests.attempt_dispatcher import AttemptDispatcher
+from balancer.policy.requests.request_state import RequestState
+from balancer.policy.selection.load_probing import LoadProbing
+from balancer.policy.selection.subset import SubsetSelector
+from balancer.policy.selection.zone_router import ZoneRouter
 from balancer.policy.timer_tokens import encode_probe_round
-from balancer.policy.zone_router import ZoneRouter
 from balancer.policy_api import EndpointHealth
 
 FIRST_ANSWER_DELAY_NS = 1
--- a/balancer/policy/slow_start.py
+++ b/balancer/policy/selection/slow_start.py
@@ -2,8 +2,8 @@
 
 from random import Random
 
-from balancer.policy.endpoint_state import EndpointState
-from balancer.policy.measurement_cycle import CYCLE_NS
+from balancer.policy.endpoints.endpoint_state import EndpointState
+from balancer.policy.overload.measurement_cycle import CYCLE_NS
 from balancer.policy_api import Settings
 from balancer.time_units import SECOND_NS
 
--- a/balancer/policy/subset.py
+++ b/balancer/policy/selection/subset.py
@@ -2,10 +2,10 @@
 
 from random import Random
 
-from balancer.policy.attempt_accounting import AttemptAccounting
-from balancer.policy.connection_budget import ConnectionBudget
-from balancer.policy.endpoint_state import EndpointState
-from balancer.policy.slow_start import WarmUpAllowance, capacity
+from balancer.policy.endpoints.endpoint_state import EndpointState
+from balancer.policy.selection.attempt_accounting import AttemptAccounting
+from balancer.policy.selection.connection_budget import ConnectionBudget
+from balancer.policy.selection.slow_start import WarmUpAllowance, capacity
 from balancer.policy_api import EndpointId, Settings
 
 MIN_SUBSET_SIZE = 4
--- a/balancer/policy/zone_router.py
+++ b/balancer/policy/selection/zone_router.py
@@ -2,11 +2,11 @@
 
 from random import Random
 
-from balancer.policy.endpoint_picker import EndpointPicker
-from balancer.policy.endpoint_state import EndpointState
-from balancer.policy.overload import OverloadDetector
-from balancer.policy.request_state import RequestState
-from balancer.policy.subset import SubsetSelector, ZoneSubset
+from balancer.policy.endpoints.endpoint_state import EndpointState
+from balancer.policy.overload.detector import OverloadDetector
+from balancer.policy.requests.request_state import RequestState
+from balancer.policy.selection.endpoint_picker import EndpointPicker
+from balancer.policy.selection.subset import SubsetSelector, ZoneSubset
 
 
 class ZoneRouter:
--- a/soak/mutants.py
+++ b/soak/mutants.py
@@ -71,19 +71,19 @@
     ),
     _mutant(
         "a request that may have executed is retried only if it is idempotent",
-        "balancer/policy/retry.py",
+        "balancer/policy/requests/retry.py",
         "is_safe = request.may_run_again or now_ns < request.deduplicated_until_ns",
         "is_safe = True",
     ),
     _mutant(
         "a rejection promises that nothing has executed",
-        "balancer/policy/retry.py",
+        "balancer/policy/requests/retry.py",
         "        if not request.may_run_again:\n            return api.FailRequest(request.id)\n",
         "",
     ),
     _mutant(
         "a request with an idempotency key is retried only within its deduplication scope",
-        "balancer/policy/endpoint_picker.py",
+        "balancer/policy/selection/endpoint_picker.py",
         "if endpoint.drops_duplicates_of(binding.endpoint, scope)]",
         "if scope is not None]",
     ),
@@ -95,13 +95,13 @@
     ),
     _mutant(
         "draining and removed endpoints get no requests",
-        "balancer/policy/endpoint_ranking.py",
+        "balancer/policy/endpoints/endpoint_ranking.py",
         "ready = [endpoint for endpoint in endpoints if endpoint.health == EndpointHealth.READY]",
         "ready = list(endpoints)",
     ),
     _mutant(
         "endpoints that warm up get fewer requests",
-        "balancer/policy/slow_start.py",
+        "balancer/policy/selection/slow_start.py",
         "    if not endpoint.started_at_ns or age_ns >= duration_ns:",
         "    if age_ns >= 0:",
     ),
--- a/tests/policy/harness.py
+++ b/tests/policy/harness.py
@@ -6,8 +6,8 @@
 from typing import TypeVar
 
 from balancer.policy.balancer import Balancer
-from balancer.policy.endpoint_state import EndpointState
-from balancer.policy.request_state import RequestState
+from balancer.policy.endpoints.endpoint_state import EndpointState
+from balancer.policy.requests.request_state import RequestState
 from balancer.policy_api import (
     Action,
     AttemptOutcome,
--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -1,10 +1,10 @@
-"""Tests of `balancer.policy.admission`: priorities, the arrivals by level and the threshold."""
+"""Tests of `balancer.policy.overload.admission`: priorities, the arrivals by level and the threshold."""
 
 from __future__ import annotations
 
 import pytest
 
-from balancer.policy import admission, priority_levels
+from balancer.policy.overload import admission, priority_levels
 from balancer.policy_api import RejectRequest, StartAttempt, Tenant
 from balancer.time_units import HOUR_NS
 from tests.builders import request_received, settings, two_priority_settings
--- a/tests/policy/test_arrival_histogram.py
+++ b/tests/policy/test_arrival_histogram.py
@@ -1,11 +1,11 @@
-"""Tests of `balancer.policy.arrival_histogram`: the ranges of levels and the decay of arrivals."""
+"""Tests of `balancer.policy.overload.arrival_histogram`: the ranges of levels and the decay of arrivals."""
 
 from __future__ import annotations
 
 import pytest
 
-from balancer.policy.arrival_histogram import HISTOGRAM_DECAY, ArrivalHistogram, LevelRange
-from balancer.policy.priority_levels import USER_LEVELS
+from balancer.policy.overload.arrival_histogram import HISTOGRAM_DECAY, ArrivalHistogram, LevelRange
+from balancer.policy.overload.priority_levels import USER_LEVELS
 
 
 def test_arrivals_without_keys_are_one_range_where_there_are_no_keys() -> None:
--- a/tests/policy/test_attempt_accounting.py
+++ b/tests/policy/test_attempt_accounting.py
@@ -1,8 +1,8 @@
-"""Tests of `balancer.policy.attempt_accounting`: connections that no attempt uses any more."""
+"""Tests of `balancer.policy.selection.attempt_accounting`: connections that no attempt uses any more."""
 
 from __future__ import annotations
 
-from balancer.policy import subset
+from balancer.policy.selection import subset
 from balancer.policy_api import CloseIdleConnections, EndpointId
 from tests.builders import settings
 from tests.policy.harness import BalancerHarness, actions_of
--- a/tests/policy/test_connection_budget.py
+++ b/tests/policy/test_connection_budget.py
@@ -1,10 +1,10 @@
-"""Tests of `balancer.policy.connection_budget`: the share of an instance and its adaptation."""
+"""Tests of `balancer.policy.selection.connection_budget`: the share of an instance and its adaptation."""
 
 from __future__ import annotations
 
 import pytest
 
-from balancer.policy import connection_budget
+from balancer.policy.selection import connection_budget
 from balancer.policy_api import AttemptOutcome
 from balancer.time_units import MILLISECOND_NS, SECOND_NS
 from tests.builders import settings
--- a/tests/policy/test_control_cycle.py
+++ b/tests/policy/test_control_cycle.py
@@ -1,8 +1,8 @@
-"""Tests of `balancer.policy.control_cycle`: when a cycle ends."""
+"""Tests of `balancer.policy.overload.control_cycle`: when a cycle ends."""
 
 from __future__ import annotations
 
-from balancer.policy import measurement_cycle
+from balancer.policy.overload import measurement_cycle
 from tests.policy.harness import BalancerHarness
 
 
--- a/tests/policy/test_discovery_polling.py
+++ b/tests/policy/test_discovery_polling.py
@@ -1,4 +1,4 @@
-"""Tests of `balancer.policy.discovery_polling`: when discovery is polled."""
+"""Tests of `balancer.policy.endpoints.discovery_polling`: when discovery is polled."""
 
 from __future__ import annotations
 
--- a/tests/policy/test_endpoint_picker.py
+++ b/tests/policy/test_endpoint_picker.py
@@ -1,10 +1,10 @@
-"""Tests of `balancer.policy.endpoint_picker`: the pick by key, load, latency and failures."""
+"""Tests of `balancer.policy.selection.endpoint_picker`: the pick by key, load, latency and failures."""
 
 from __future__ import annotations
 
 from collections import Counter
 
-from balancer.policy import endpoint_picker, subset
+from balancer.policy.selection import endpoint_picker, subset
 from balancer.policy_api import AttemptOutcome, ClientDisconnected, EndpointId, Idempotency
 from balancer.time_units import MILLISECOND_NS, SECOND_NS
 from tests.builders import endpoint_id, request_class, settings
--- a/tests/policy/test_gossip.py
+++ b/tests/policy/test_gossip.py
@@ -1,4 +1,4 @@
-"""Tests of `balancer.policy.gossip`: what instances share, and messages that are no messages."""
+"""Tests of `balancer.policy.overload.gossip`: what instances share, and messages that are no messages."""
 
 from __future__ import annotations
 
--- a/tests/policy/test_load_probing.py
+++ b/tests/policy/test_load_probing.py
@@ -1,4 +1,4 @@
-"""Tests of `balancer.policy.load_probing`: health checks that find a lightly loaded endpoint."""
+"""Tests of `balancer.policy.selection.load_probing`: health checks that find a lightly loaded endpoint."""
 
 from __future__ import annotations
 
--- a/tests/policy/test_membership.py
+++ b/tests/policy/test_membership.py
@@ -1,4 +1,4 @@
-"""Tests of `balancer.policy.membership`: endpoint lists, drains and restarts."""
+"""Tests of `balancer.policy.endpoints.membership`: endpoint lists, drains and restarts."""
 
 from __future__ import annotations
 
--- a/tests/policy/test_outlier_detection.py
+++ b/tests/policy/test_outlier_detection.py
@@ -1,12 +1,13 @@
-"""Tests of `balancer.policy.outlier_detection`: the ejection of endpoints and their return to service."""
+"""Tests of `balancer.policy.endpoints.outlier_detection`: the ejection of endpoints and their return."""
 
 from __future__ import annotations
 
 import pytest
 
-from balancer.policy import outlier_detection, subset
-from balancer.policy.ejection_state import EjectionState
-from balancer.policy.endpoint_estimates import SILENCE_NS
+from balancer.policy.endpoints import outlier_detection
+from balancer.policy.endpoints.ejection_state import EjectionState
+from balancer.policy.endpoints.endpoint_estimates import SILENCE_NS
+from balancer.policy.selection import subset
 from balancer.policy_api import AttemptOutcome, StartAttempt, StartHealthCheck
 from balancer.time_units import HOUR_NS, MILLISECOND_NS, SECOND_NS
 from tests.builders import request_class, settings
--- a/tests/policy/test_overload.py
+++ b/tests/policy/test_overload.py
@@ -1,11 +1,11 @@
-"""Tests of `balancer.policy.overload`: which samples show overload and raise the threshold."""
+"""Tests of `balancer.policy.overload.detector`: which samples show overload and raise the threshold."""
 
 from __future__ import annotations
 
 import pytest
 
 from balancer.gossip_codec import QueueingEvidence
-from balancer.policy.queueing_delay import AttemptCounts
+from balancer.policy.overload.queueing_delay import AttemptCounts
 from balancer.policy_api import AttemptOutcome, ClientDisconnected
 from balancer.time_units import MILLISECOND_NS, SECOND_NS
 from tests.builders import (
--- a/tests/policy/test_retry.py
+++ b/tests/policy/test_retry.py
@@ -1,10 +1,10 @@
-"""Tests of `balancer.policy.retry`: which attempts may be repeated, where, and how often."""
+"""Tests of `balancer.policy.requests.retry`: which attempts may be repeated, where, and how often."""
 
 from __future__ import annotations
 
 import pytest
 
-from balancer.policy import retry
+from balancer.policy.requests import retry
 from balancer.policy_api import (
     OUTCOMES_NEVER_EXECUTED,
     AttemptOutcome,
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -1,4 +1,4 @@
-"""Tests of `balancer.policy.slow_start`: how much of the traffic goes to endpoints that warm up."""
+"""Tests of `balancer.policy.selection.slow_start`: how much of the traffic goes to endpoints that warm up."""
 
 from __future__ import annotations
 
--- a/tests/policy/test_spillover.py
+++ b/tests/policy/test_spillover.py
@@ -1,4 +1,4 @@
-"""Tests of `balancer.policy.spillover`: when requests go to other zones."""
+"""Tests of `balancer.policy.overload.spillover`: when requests go to other zones."""
 
 from __future__ import annotations
 
--- a/tests/policy/test_subset.py
+++ b/tests/policy/test_subset.py
@@ -1,10 +1,10 @@
-"""Tests of `balancer.policy.subset`: the size and the stability of the subset."""
+"""Tests of `balancer.policy.selection.subset`: the size and the stability of the subset."""
 
 from __future__ import annotations
 
 from collections import Counter
 
-from balancer.policy import subset
+from balancer.policy.selection import subset
 from balancer.policy_api import EndpointHealth, EndpointUpdateKind
 from tests.builders import endpoint, endpoint_number, settings
 from tests.policy.harness import BalancerHarness
--- a/tests/policy/test_zone_router.py
+++ b/tests/policy/test_zone_router.py
@@ -1,4 +1,4 @@
-"""Tests of `balancer.policy.zone_router`: the choice between the zones."""
+"""Tests of `balancer.policy.selection.zone_router`: the choice between the zones."""
 
 from __future__ import annotations
 
--- a/tests/sidecar/discovery/test_client.py
+++ b/tests/sidecar/discovery/test_client.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from balancer.policy import discovery_polling
+from balancer.policy.endpoints import discovery_polling
 from balancer.policy_api import EndpointUpdateKind
 from balancer.sidecar.discovery.call import (
     DiscoveryCallError,
--- a/tests/sidecar/discovery/test_profile.py
+++ b/tests/sidecar/discovery/test_profile.py
@@ -4,8 +4,9 @@
 
 import pytest
 
-from balancer.policy import discovery_polling, measurement_cycle
 from balancer.policy.balancer import Balancer
+from balancer.policy.endpoints import discovery_polling
+from balancer.policy.overload import measurement_cycle
 from balancer.policy_api import WatchEndpoints
 from balancer.sidecar.discovery import profile as discovery_profile
 from balancer.sidecar.discovery.profile import POLLED_DISCOVERY, PUSHED_DISCOVERY
