--- a/tests/sidecar/configuration_documents.py
+++ b/tests/sidecar/configuration_documents.py
@@ -2,10 +2,9 @@
 
 from __future__ import annotations
 
+import socket
 from typing import Any
 
-from tests.sidecar.scripted_endpoint import unreachable_address
-
 SETTINGS: dict[str, Any] = {  # the units and names are those of the settings' JSON
     "Azs": ["bangna"],
     "Kinds": ["new-4c"],
@@ -39,6 +38,16 @@
     "NInstances": 2,
 }
 
+_bound_socket = socket.socket()
+_bound_socket.bind(("127.0.0.1", 0))
+
+UNREACHABLE_DISCOVERY = f"127.0.0.1:{_bound_socket.getsockname()[1]}"
+"""An address where nothing ever listens: the port stays bound for as long as the tests run.
+
+A port that is free for anybody may be taken by a stand-in endpoint, of another process too, which would then
+get the calls to discovery.
+"""
+
 
 def endpoint_entry(name: str, address: str, health: str = "up") -> dict[str, Any]:
     """Return the entry of an endpoint in an endpoint list, in the form that discovery sends."""
@@ -69,7 +78,7 @@
     return {
         "name": "n0",
         "listen": "127.0.0.1:0",
-        "discovery": discovery or unreachable_address(),
+        "discovery": discovery or UNREACHABLE_DISCOVERY,
         "seed": "1f",
         "limits": {"sockets": 1024},
         "known": endpoint_list(1, *entries),
