--- a/balancer/policy/endpoints/health_checks.py
+++ b/balancer/policy/endpoints/health_checks.py
@@ -34,6 +34,6 @@
         is_healthy = event.outcome == AttemptOutcome.SUCCESS
         self._outliers.record_health_check(endpoint, is_healthy, now_ns)
         if is_healthy:
-            self._subsets.zone_of(endpoint).record_health_check_duration(event.duration_ns)
+            self._subsets.subset_of(endpoint).record_health_check_duration(event.duration_ns)
         for request_id in waiting:
             self._probe_rounds.record_answer(request_id, endpoint, is_healthy, event.duration_ns, now_ns)
--- a/balancer/policy/requests/hung_attempts.py
+++ b/balancer/policy/requests/hung_attempts.py
@@ -10,7 +10,10 @@
 from balancer.policy_api import AttemptOutcome, Idempotency, Settings
 
 MIN_HUNG_DELAY = 0.5
-"""Queueing delay (share of the slack) from which an overtaken attempt is hung: in calm one in a hundred."""
+"""Queueing delay (share of the slack) from which an overtaken attempt is hung.
+
+Without overload one attempt in a hundred waits that long.
+"""
 
 MIN_HUNG_FAILURE_RATE = 0.5
 """Share of hung attempts that must fail before any is cancelled; where few fail, they are long by nature."""
@@ -61,7 +64,7 @@
     ) -> bool:
         """Record that an attempt is overtaken, and return whether to cancel it for a retry.
 
-        During overload it is not cancelled: the endpoint may go on with it beside the retry.
+        Unless the endpoints are calm it is not cancelled: its endpoint may go on with it beside the retry.
         """
         if delay < MIN_HUNG_DELAY or request.attempt.is_hung:
             return False
--- a/balancer/policy/requests/outcome_recorder.py
+++ b/balancer/policy/requests/outcome_recorder.py
@@ -98,4 +98,4 @@
         if failed:
             self._outliers.record_failure(endpoint, outcome, now_ns)
         elif capacity(self._settings, endpoint, now_ns) >= 1:
-            self._subsets.zone_of(endpoint).allowance.record_answer()
+            self._subsets.subset_of(endpoint).allowance.record_answer()
--- a/balancer/policy/requests/request_arrivals.py
+++ b/balancer/policy/requests/request_arrivals.py
@@ -34,7 +34,10 @@
         self._probe_rounds = probe_rounds
 
     def handle(self, now_ns: int, event: api.RequestReceived) -> None:
-        """Send a request that is admitted; give any other its final answer."""
+        """Dispatch a request that is admitted, and give any other its final answer.
+
+        One below the admission threshold may still go to an endpoint that is warming up.
+        """
         request_class = self._request_classes[event.class_index]
         request = RequestState(event, request_class, now_ns)
         self._requests[request.id] = request
--- a/balancer/policy/requests/retry.py
+++ b/balancer/policy/requests/retry.py
@@ -27,7 +27,7 @@
         self._settings = settings
         self._overload = overload
         self._load_probing = load_probing
-        self._longest_first_try_ns = [0] * len(settings.classes)
+        self._longest_first_request_ns = [0] * len(settings.classes)
         """The most time that a client gave to a request that is not its retry, by class index."""
         self.budget = INITIAL_BUDGET
 
@@ -42,13 +42,13 @@
     def is_useless_client_retry(self, event: api.RequestReceived, now_ns: int) -> bool:
         """Return whether a client's retry comes so late that its answer is worth nothing.
 
-        The latency objective counts from the client's first try, which is estimated from the time left.
+        The latency objective counts from the client's first request, which is estimated from the time left.
         """
         request_class = self._settings.classes[event.class_index]
         time_left_ns = event.expires_at_ns - now_ns
-        longest_ns = self._longest_first_try_ns[event.class_index]
+        longest_ns = self._longest_first_request_ns[event.class_index]
         if not event.is_retry:
-            self._longest_first_try_ns[event.class_index] = max(longest_ns, time_left_ns)
+            self._longest_first_request_ns[event.class_index] = max(longest_ns, time_left_ns)
             return False
         time_passed_ns = request_class.client_timeout_ns - time_left_ns
         is_late = time_left_ns < longest_ns and time_passed_ns >= request_class.latency_objective_ns
--- a/balancer/policy/selection/endpoint_picker.py
+++ b/balancer/policy/selection/endpoint_picker.py
@@ -122,7 +122,7 @@
         last_endpoint = request.attempt.endpoint
         warm = [
             endpoint
-            for endpoint in self._pool(zone, key_hash, binding)
+            for endpoint in self._unfiltered_endpoints(zone, key_hash, binding)
             if endpoint is not last_endpoint and capacity(settings, endpoint, now_ns) >= 1
         ]
         if request.probe:
@@ -135,7 +135,7 @@
             warm = [endpoint for endpoint in warm if endpoint.ejection.until_ns <= now_ns]
         return _endpoints_of_key(warm, key_hash) if key_hash else warm
 
-    def _pool(
+    def _unfiltered_endpoints(
         self, zone: ZoneSubset, key_hash: int, binding: DeduplicationBinding | None
     ) -> list[EndpointState]:
         """Return the endpoints to choose from, before any that may not get the request are left out."""
--- a/balancer/policy/selection/load_probing.py
+++ b/balancer/policy/selection/load_probing.py
@@ -11,7 +11,7 @@
 from balancer.time_units import SECOND_NS
 
 ENDPOINTS_PER_ROUND = 2
-"""Endpoints probed per round and zone: the second choice brings most of the gain."""
+"""Endpoints probed per round and zone: the power of two choices."""
 
 DRAWN_PER_PROBED = 2
 """Endpoints drawn at random for each one that is probed; those expected to be slower are dropped."""
@@ -23,7 +23,7 @@
 """Rounds per request: together about 0.1 s, which is short of usual latency objectives."""
 
 MAX_STALL_NS = 2.2 * SECOND_NS
-"""Longest pause of a sidecar that is expected (ns): a request held meanwhile must not expire."""
+"""Longest pause of a sidecar that is expected (ns): a request that waits for a probe must not expire."""
 
 
 class LoadProbing:
@@ -76,7 +76,7 @@
 
     def record_answer(self, probe: LoadProbe, endpoint: EndpointState, duration_ns: int) -> None:
         """Keep the endpoint if its answer exceeds the fastest one of its zone by the least time so far."""
-        zone = self._subsets.zone_of(endpoint)
+        zone = self._subsets.subset_of(endpoint)
         fastest_zone = self._subsets.remote if probe.fastest_is_remote else self._subsets.local
         fastest_excess_ns = probe.fastest_duration_ns - fastest_zone.fastest_probe_ns
         if duration_ns - zone.fastest_probe_ns < fastest_excess_ns:
--- a/balancer/policy/selection/slow_start.py
+++ b/balancer/policy/selection/slow_start.py
@@ -15,7 +15,7 @@
 
 
 def capacity(settings: Settings, endpoint: EndpointState, now_ns: int) -> float:
-    """Return the share of its full load that an endpoint can take at least; below 1 it is warming up."""
+    """Return the least capacity of an endpoint, as a share of its full one; below 1 it is warming up."""
     age_ns = now_ns - endpoint.started_at_ns
     duration_ns = settings.slow_start_duration_ns
     if not endpoint.started_at_ns or age_ns >= duration_ns:
@@ -61,7 +61,7 @@
         self._attempts = min(1.0, self._attempts + self._earned_per_answer)
 
     def end_cycle(self, candidate_count: int, now_ns: int) -> None:
-        """Add what the answers of the control cycle earned less than those of recent cycles.
+        """Add the attempts by which the earnings of this control cycle fell short of recent ones.
 
         Without warm endpoints the fleet sends each of the `candidate_count` endpoints a request per second.
         """
@@ -76,7 +76,7 @@
     def take(self, now_ns: int) -> EndpointState | None:
         """Spend an attempt on a warming endpoint; return None if there is no allowance or no such endpoint.
 
-        An endpoint gets no attempt while it holds more than its capacity of what the warm ones hold.
+        An endpoint gets none while its attempts in flight reach its capacity times the mean of the warm ones.
         """
         if self._attempts < 1:
             return None
@@ -99,9 +99,9 @@
         return [capacity(self._settings, member, now_ns) for member in self._members]
 
     def _update_answer_rate(self, warm: list[EndpointState], now_ns: int) -> None:
-        """Update the answer rate, except if all warm endpoints that owe an answer are silent."""
-        owing = [endpoint for endpoint in warm if endpoint.in_flight]
-        all_silent = bool(owing) and all(endpoint.answers.is_silent(now_ns) for endpoint in owing)
+        """Update the answer rate, unless all warm endpoints with attempts in flight are silent."""
+        busy = [endpoint for endpoint in warm if endpoint.in_flight]
+        all_silent = bool(busy) and all(endpoint.answers.is_silent(now_ns) for endpoint in busy)
         if warm and not all_silent:
             self._answer_rate += RATE_SMOOTHING * (self._answer_count / len(warm) - self._answer_rate)
         self._peak_rate = max(self._answer_rate, self._peak_rate * PEAK_DECAY)
--- a/balancer/policy/selection/subset.py
+++ b/balancer/policy/selection/subset.py
@@ -54,14 +54,14 @@
         self.local = ZoneSubset(settings, random)
         self.remote = ZoneSubset(settings, random)
 
-    def zone_of(self, endpoint: EndpointState) -> ZoneSubset:
+    def subset_of(self, endpoint: EndpointState) -> ZoneSubset:
         """Return the zone subset that an endpoint belongs to."""
         return self.local if endpoint.zone == self._settings.local_zone else self.remote
 
     def use_ranking(self, ranked: list[EndpointState]) -> None:
         """Select from these endpoints from now on; they are in the order of preference."""
-        self.local.ranked = [endpoint for endpoint in ranked if self.zone_of(endpoint) is self.local]
-        self.remote.ranked = [endpoint for endpoint in ranked if self.zone_of(endpoint) is self.remote]
+        self.local.ranked = [endpoint for endpoint in ranked if self.subset_of(endpoint) is self.local]
+        self.remote.ranked = [endpoint for endpoint in ranked if self.subset_of(endpoint) is self.remote]
         self.mark_stale()
 
     def mark_stale(self) -> None:
--- a/balancer/policy/selection/zone_router.py
+++ b/balancer/policy/selection/zone_router.py
@@ -50,7 +50,7 @@
         return remote_endpoint if prefers_remote else local_endpoint
 
     def choose_warming(self, request: RequestState, now_ns: int) -> EndpointState | None:
-        """Return an endpoint that is warming up and may get a request that admission control rejected.
+        """Return an endpoint that is warming up and may get a request below the admission threshold.
 
         Its allowance is its own: the queues for which requests are rejected are at the warm endpoints.
         """
--- a/balancer/policy_api.py
+++ b/balancer/policy_api.py
@@ -78,7 +78,7 @@
     CANCELLED = 6
     """The attempt was cancelled; the request may have been executed."""
     NOT_SENT = 7
-    """The attempt was not started: the request had ended, or had no time or no attempts left."""
+    """At most a part was sent: the request had ended or had no time or attempts left, or room was short."""
     CLIENT_ERROR = 8
     """The endpoint found the request itself invalid, as any other endpoint would."""
 
--- a/balancer/sidecar/process/configuration_reloader.py
+++ b/balancer/sidecar/process/configuration_reloader.py
@@ -18,7 +18,7 @@
 """Until a file that could not be read is tried again."""
 
 MAX_RELOAD_ATTEMPTS = 30
-"""Of one reload: what the new address of discovery has counts as known 4 s after the SIGHUP."""
+"""Reads of the file in one reload, over 3 s: a new address of discovery is in force 4 s after SIGHUP."""
 
 log = logging.getLogger(__name__)
 
@@ -36,7 +36,7 @@
         self._attempts_left = 0
 
     def request_reload(self) -> None:
-        """Reload soon, unless a reload is pending already."""
+        """Reload soon; a reload that is pending gets its full number of attempts again."""
         self._attempts_left = MAX_RELOAD_ATTEMPTS
         if not self._timer.is_running:
             self._timer.start(RELOAD_DELAY_SECONDS, self._reload)
--- a/balancer/sidecar/process/graceful_shutdown.py
+++ b/balancer/sidecar/process/graceful_shutdown.py
@@ -58,7 +58,10 @@
         self._exit_delay_seconds = _exit_delay_seconds(config)
 
     async def run(self) -> None:
-        """Go through the phases; returns when all connections are closed, or when the time is over."""
+        """Go through the phases.
+
+        Returns when all connections are closed, but not before the first phase is over, or at the exit time.
+        """
         exit_at_seconds = self._loop.time() + self._exit_delay_seconds
         self._dispatcher.expire_all_within(self._exit_delay_seconds - LAST_RESPONSES_BEFORE_EXIT_SECONDS)
         self._listener.begin_shutdown()
--- a/balancer/sidecar/requests/attempt_guard.py
+++ b/balancer/sidecar/requests/attempt_guard.py
@@ -1,7 +1,7 @@
 """The one place that says whether an attempt may start, and whether a request may be rejected.
 
-The policy decides by what it knows; this guard holds the rules of the protocol against what the sidecar has
-done, whatever the policy says. What only a fault of the policy can bring about is counted as a violation.
+The policy decides by what it knows; this guard checks each attempt against the rules of the protocol and what
+the sidecar has done for the request. What only a fault of the policy can cause is counted as a violation.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 MAX_EXECUTION_DELAY_NS = 150 * MILLISECOND_NS
 """How much later than its decision an attempt may start before that counts as a fault: the process may be
-held up, so a repeat that was allowed when it was decided on may be too late when it starts."""
+delayed, so a repeat that was allowed when it was decided on may be too late when it starts."""
 
 log = logging.getLogger(__name__)
 
@@ -38,7 +38,7 @@
     REPEAT_FORBIDDEN = "repeat_forbidden"
     """The request may have been executed, and the endpoint might execute it again."""
     CLIENT_LEFT = "client_left"
-    """Nobody waits for the answer, which no event has reported yet."""
+    """The client has disconnected, and no event has reported it yet."""
 
 
 class AttemptGuard:
@@ -85,7 +85,7 @@
             return AttemptRefusal.ATTEMPTS_EXHAUSTED
         if not self._may_repeat(request, endpoint_id, now_ns):
             return AttemptRefusal.REPEAT_FORBIDDEN
-        # The last question, as it asks the socket.
+        # Checked last, as it costs a system call.
         return AttemptRefusal.CLIENT_LEFT if request.is_abandoned() else None
 
     def record_refusal(
@@ -128,7 +128,7 @@
     def _record_forbidden_repeat(
         self, request: InFlightRequest, endpoint_id: EndpointId, now_ns: int
     ) -> None:
-        """Count a violation, unless the repeat was only held up until just after its window."""
+        """Count a violation, unless the repeat was only delayed until just after its window."""
         request_class = self._class_of(request)
         window_end_ns = _deduplication_end_ns(request, request_class)
         is_deduplicated = self._is_deduplicated(request, request_class, endpoint_id)
--- a/balancer/sidecar/requests/attempt_runner.py
+++ b/balancer/sidecar/requests/attempt_runner.py
@@ -68,7 +68,7 @@
             action.endpoint_id, partial(self._build_payload, request), on_completed, start_before_ns
         )
         if attempt is None:
-            self._check_policy_may_not_know(action)
+            self._record_unready_endpoint(action)
             on_completed(AttemptOutcome.CONNECT_FAILED, None)
             return
         request.attempt = attempt
@@ -126,8 +126,8 @@
         request.endpoint_id = action.endpoint_id
         request.attempt_group = self._guard.group_of(action.endpoint_id)
 
-    def _check_policy_may_not_know(self, action: StartAttempt) -> None:
-        """Check that the policy has not seen yet that the endpoint it chose takes nothing new."""
+    def _record_unready_endpoint(self, action: StartAttempt) -> None:
+        """Record a violation, unless the policy has yet to see the update that made the endpoint unready."""
         if not self._events.has_pending_endpoint_update():
             detail = f"request={action.request_id} endpoint={format_endpoint_id(action.endpoint_id)}"
             self._metrics.record_violation(Invariant.ENDPOINT_READY, detail)
--- a/balancer/sidecar/requests/dispatcher.py
+++ b/balancer/sidecar/requests/dispatcher.py
@@ -1,7 +1,8 @@
 """Wires the parts that handle requests to each other, and is their interface to the rest of the sidecar.
 
 An event goes from `EventQueue` to `PolicyDriver`, which asks the policy and gives the actions to
-`ActionExecutor`; the parts that carry them out bring about further events. No part makes decisions.
+`ActionExecutor`; the parts that carry them out bring about further events. The policy makes the decisions;
+only `AttemptGuard` may overrule them.
 """
 
 from __future__ import annotations
