--- a/balancer/sidecar/configuration.py
+++ b/balancer/sidecar/configuration.py
@@ -77,7 +77,7 @@
     """How long a connection to an endpoint may take to come up."""
     connection_idle_timeout_ns: int
     """Endpoints close connections that were idle this long."""
-    known_endpoints: EndpointListUpdate
+    cached_endpoints: EndpointListUpdate
     """The endpoint list as it was last stored; it may be stale."""
 
     def discovery_client(self) -> DiscoveryClientConfiguration:
@@ -87,7 +87,7 @@
             settings=self.settings,
             name_indices=self.name_indices,
             seed=self.seed,
-            known_version=self.known_endpoints.version,
+            cached_version=self.cached_endpoints.version,
         )
 
 
@@ -135,7 +135,7 @@
         load_reports_enabled=bool(settings.load_report_fields),
         connect_timeout_ns=limits.read_integer("ConnectTimeoutNs", DEFAULT_CONNECT_TIMEOUT_NS, low=1),
         connection_idle_timeout_ns=limits.read_integer("ConnIdleNs", DEFAULT_IDLE_TIMEOUT_NS, low=1),
-        known_endpoints=_read_known_endpoints(top, names),
+        cached_endpoints=_read_cached_endpoints(top, names),
     )
 
 
@@ -176,7 +176,7 @@
     return {str(name): index for index, name in enumerate(names)}
 
 
-def _read_known_endpoints(top: JsonObject, names: NameIndices) -> EndpointListUpdate:
+def _read_cached_endpoints(top: JsonObject, names: NameIndices) -> EndpointListUpdate:
     known = top.get("known")
     if not known:
         return EndpointListUpdate(version=0, is_snapshot=True, endpoints=())
--- a/balancer/sidecar/discovery/call.py
+++ b/balancer/sidecar/discovery/call.py
@@ -19,10 +19,10 @@
 from balancer.sidecar.http.outbound_connection import OutboundConnection
 from balancer.sidecar.runtime.address import Address
 
-MAX_LIST_BYTES = 4 * 1024 * 1024
+MAX_ENDPOINT_LIST_BYTES = 4 * 1024 * 1024
 """The longest response that is accepted; it is held in memory as a whole."""
 
-LIST_PATH = "/discovery/hosts"
+ENDPOINT_LIST_PATH = "/discovery/hosts"
 """The path of the endpoint list at discovery."""
 
 
@@ -67,13 +67,13 @@
     def __init__(
         self,
         address: Address,
-        names: NameIndices,
+        name_indices: NameIndices,
         connect_timeout_seconds: float,
         loop: asyncio.AbstractEventLoop,
     ) -> None:
         self.connect_timeout_seconds = connect_timeout_seconds
         self._address = address
-        self._names = names
+        self._name_indices = name_indices
         self._loop = loop
         self._idle_connection: OutboundConnection | None = None
 
@@ -102,12 +102,16 @@
         """Return the complete list. Raises DiscoveryCallError, at the latest after the timeout."""
         return await self._call("", timeout_seconds)
 
-    async def watch(self, version: int, hold_seconds: float, timeout_seconds: float) -> EndpointListUpdate:
+    async def watch(
+        self, version: int, long_poll_timeout_seconds: float, timeout_seconds: float
+    ) -> EndpointListUpdate:
         """Return the changes since a version; discovery may hold its answer for as long as there are none.
 
         Raises DiscoveryCallError, at the latest after the timeout.
         """
-        return await self._call(f"?from={version}&hold_ms={hold_seconds * 1000:.0f}", timeout_seconds)
+        return await self._call(
+            f"?from={version}&hold_ms={long_poll_timeout_seconds * 1000:.0f}", timeout_seconds
+        )
 
     async def _call(self, query: str, timeout_seconds: float) -> EndpointListUpdate:
         """Make one call on a connection that is its own until it is over.
@@ -131,7 +135,7 @@
             if connection.is_reusable():
                 return connection
             connection.close()
-        return OutboundConnection(budget=BufferBudget(MAX_LIST_BYTES))
+        return OutboundConnection(budget=BufferBudget(MAX_ENDPOINT_LIST_BYTES))
 
     async def _request(
         self, connection: OutboundConnection, query: str, timeout_seconds: float
@@ -157,16 +161,16 @@
         if not connection.is_established:
             async with asyncio.timeout(self.connect_timeout_seconds):
                 await self._loop.create_connection(lambda: connection, host, port)
-        connection.max_body_bytes = MAX_LIST_BYTES
+        connection.max_body_bytes = MAX_ENDPOINT_LIST_BYTES
         response: asyncio.Future[HttpResponse | None] = self._loop.create_future()
-        request = f"GET {LIST_PATH}{query} HTTP/1.1\r\nHost: {host}:{port}\r\n\r\n".encode()
+        request = f"GET {ENDPOINT_LIST_PATH}{query} HTTP/1.1\r\nHost: {host}:{port}\r\n\r\n".encode()
         if not connection.send(request, partial(_set_result_once, response)):
             return None
         return await response
 
     def _parse(self, body: bytes) -> EndpointListUpdate:
         try:
-            return parse_endpoint_list(json.loads(body), self._names)
+            return parse_endpoint_list(json.loads(body), self._name_indices)
         except (ValueError, RecursionError, MalformedEndpointListError) as error:
             raise MalformedDiscoveryResponseError(self._address, f"malformed list: {error}") from error
 
--- a/balancer/sidecar/discovery/client.py
+++ b/balancer/sidecar/discovery/client.py
@@ -20,7 +20,7 @@
 from balancer.sidecar.discovery.retry import WatchRetryPolicy
 from balancer.sidecar.runtime.address import Address
 
-FAULT_PAUSE_SECONDS = 0.25
+FAILED_UPDATE_PAUSE_SECONDS = 0.25
 """The pause after an update that a fault of this program kept from being applied: the next may fail, too."""
 
 log = logging.getLogger(__name__)
@@ -38,7 +38,7 @@
     """The positions of the names in endpoint lists."""
     seed: int
     """The seed of the random parts of holds and pauses."""
-    known_version: int
+    cached_version: int
     """The version of the endpoint list that the sidecar starts with."""
 
 
@@ -72,7 +72,7 @@
         self._observer = observer
         self._loop = loop
         self._random = Random(config.seed)
-        self._version = config.known_version
+        self._version = config.cached_version
         self._needs_snapshot = False  # of a new address, as its versions may be numbered otherwise
         self._tasks: set[asyncio.Task[None]] = set()
         self._watch_task: asyncio.Task[None] | None = None
@@ -81,7 +81,7 @@
 
     def start(self) -> None:
         """Begin to watch, unless that is left to the policy."""
-        if self.profile.watches_unasked:
+        if self.profile.watches_continuously:
             self.set_watching(True)
 
     async def stop(self) -> None:
@@ -101,7 +101,7 @@
         self.caller.change_address(address)
         self._version = 0
         self._needs_snapshot = True
-        if was_calling or not self.profile.watches_unasked:
+        if was_calling or not self.profile.watches_continuously:
             self.set_watching(True)  # which begins with the snapshot
 
     def set_watching(self, enabled: bool) -> None:
@@ -153,7 +153,7 @@
                     "endpoint_update_failed version=%d error=%s", self._version, type(error).__name__
                 )
                 self._needs_snapshot = True
-                pause_seconds = FAULT_PAUSE_SECONDS
+                pause_seconds = FAILED_UPDATE_PAUSE_SECONDS
             else:
                 retry_policy.record_success()
                 pause_seconds = 0.0 if is_new else UNCHANGED_PAUSE_SECONDS
@@ -176,9 +176,11 @@
         """Return the changes since the present list, or the snapshot of a new address."""
         profile = self.profile
         if not self._needs_snapshot:
-            hold_seconds = profile.hold_seconds * (1 - profile.hold_jitter * self._random.random())
-            timeout_seconds = hold_seconds + profile.grace_seconds
-            return await self.caller.watch(self._version, hold_seconds, timeout_seconds)
+            long_poll_timeout_seconds = profile.long_poll_timeout_seconds * (
+                1 - profile.long_poll_timeout_jitter * self._random.random()
+            )
+            timeout_seconds = long_poll_timeout_seconds + profile.grace_seconds
+            return await self.caller.watch(self._version, long_poll_timeout_seconds, timeout_seconds)
         update = await self.caller.fetch_snapshot(profile.snapshot_timeout_seconds)
         if not update.is_snapshot:
             raise DiscoveryCallError(self.caller.address, "changes came where a snapshot was asked for")
@@ -187,9 +189,9 @@
     def _deliver(self, update: EndpointListUpdate) -> bool:
         """Notify the observer of an update. Return whether it counts as new."""
         is_empty = not update.is_snapshot and not update.endpoints
-        is_repeated = update.is_snapshot and update.version == self._version and not self._needs_snapshot
+        is_duplicate = update.is_snapshot and update.version == self._version and not self._needs_snapshot
         self._version = update.version
-        if (is_empty or is_repeated) and not self.profile.reports_unchanged_lists:
+        if (is_empty or is_duplicate) and not self.profile.reports_unchanged_lists:
             return False
         if update.is_snapshot:
             self._needs_snapshot = False
--- a/balancer/sidecar/discovery/endpoint_list.py
+++ b/balancer/sidecar/discovery/endpoint_list.py
@@ -30,11 +30,11 @@
 MAX_LOGGED_CHARACTERS = 200
 """How much of the description of an invalid entry is logged: its values may have any length."""
 
-_DEPARTING_HEALTH_BY_NAME = {
+_NON_READY_HEALTH_BY_NAME = {
     "draining": EndpointHealth.DRAINING,
     "removed": EndpointHealth.REMOVED,
 }
-_HEALTH_BY_NAME = {"up": EndpointHealth.READY, **_DEPARTING_HEALTH_BY_NAME}
+_HEALTH_BY_NAME = {"up": EndpointHealth.READY, **_NON_READY_HEALTH_BY_NAME}
 
 
 class MalformedEndpointListError(InvalidFieldError, ProtocolError):
@@ -81,7 +81,7 @@
     machine_classes: Mapping[str, int]
 
 
-def parse_endpoint_list(raw: object, names: NameIndices) -> EndpointListUpdate:
+def parse_endpoint_list(raw: object, name_indices: NameIndices) -> EndpointListUpdate:
     """Translate a decoded endpoint list. Invalid entries are logged and skipped.
 
     Raises MalformedEndpointListError if it is no list of endpoints or has no version.
@@ -95,7 +95,7 @@
     if not is_integer(version):
         raise MalformedEndpointListError("seq", f"is {version!r}", version)
     is_snapshot = raw.get("whole") is True
-    return EndpointListUpdate(version, is_snapshot, tuple(_parse_entries(entries, names)))
+    return EndpointListUpdate(version, is_snapshot, tuple(_parse_entries(entries, name_indices)))
 
 
 def derive_endpoint_id(host: str) -> EndpointId:
@@ -110,15 +110,15 @@
     return blake2b(encoded, digest_size=ENDPOINT_ID_BYTES).digest()
 
 
-def _parse_entries(entries: list[object], names: NameIndices) -> Iterator[DiscoveredEndpoint]:
+def _parse_entries(entries: list[object], name_indices: NameIndices) -> Iterator[DiscoveredEndpoint]:
     """Parse each entry. An invalid one must not hide the others, which may say that an endpoint drains."""
     for entry in entries:
         try:
-            yield _parse_entry(entry, names)
+            yield _parse_entry(entry, name_indices)
         except InvalidEndpointEntryError as error:
-            departing = _parse_departing(entry)
-            if departing is not None:
-                yield departing
+            draining_or_removed = _parse_draining_or_removed(entry)
+            if draining_or_removed is not None:
+                yield draining_or_removed
             else:
                 log.warning(
                     'endpoint_list_entry_skipped error=%s detail="%.*s"',
@@ -128,7 +128,7 @@
                 )
 
 
-def _parse_entry(entry: object, names: NameIndices) -> DiscoveredEndpoint:
+def _parse_entry(entry: object, name_indices: NameIndices) -> DiscoveredEndpoint:
     if not is_object(entry):
         raise InvalidEndpointEntryError(None, "entry", "is not an object", entry)
     host = entry.get("host")
@@ -137,8 +137,8 @@
     fields = JsonObject(entry, partial(InvalidEndpointEntryError, host))
     endpoint = Endpoint(
         id=derive_endpoint_id(host),
-        zone=names.zones.get(str(fields.get("site")), 0),
-        machine_class=names.machine_classes.get(str(fields.get("class")), 0),
+        zone=name_indices.zones.get(str(fields.get("site")), 0),
+        machine_class=name_indices.machine_classes.get(str(fields.get("class")), 0),
         cell=_read_integer(fields, "block"),
         health=fields.read_choice("health", _HEALTH_BY_NAME, "up"),
         weight=_read_weight(fields),
@@ -147,7 +147,7 @@
     return DiscoveredEndpoint(endpoint, parse_address(fields.get("dial"), "dial", fields.make_error))
 
 
-def _parse_departing(entry: object) -> DiscoveredEndpoint | None:
+def _parse_draining_or_removed(entry: object) -> DiscoveredEndpoint | None:
     """Parse an entry by its host and health alone if it says that the endpoint drains or is removed.
 
     Whatever else is wrong with it, no new connection goes there.
@@ -156,7 +156,7 @@
         return None
     host = entry.get("host")
     health = entry.get("health")
-    if not isinstance(host, str) or not isinstance(health, str) or health not in _DEPARTING_HEALTH_BY_NAME:
+    if not isinstance(host, str) or not isinstance(health, str) or health not in _NON_READY_HEALTH_BY_NAME:
         return None
     try:
         endpoint_id = derive_endpoint_id(host)
@@ -167,7 +167,7 @@
         zone=0,
         machine_class=0,
         cell=0,
-        health=_DEPARTING_HEALTH_BY_NAME[health],
+        health=_NON_READY_HEALTH_BY_NAME[health],
         weight=1.0,
         started_at_ns=0,
     )
--- a/balancer/sidecar/discovery/profile.py
+++ b/balancer/sidecar/discovery/profile.py
@@ -38,9 +38,9 @@
 class DiscoveryProfile:
     """What differs between the ways that an instance gets its endpoint lists."""
 
-    hold_seconds: float
+    long_poll_timeout_seconds: float
     """How long a watch may wait for a change."""
-    hold_jitter: float
+    long_poll_timeout_jitter: float
     """The largest share by which a hold is shortened at random."""
     grace_seconds: float
     """How late a response may be before its call is given up; a connection comes up within it, too."""
@@ -52,21 +52,21 @@
     """The longest pause after a failed call."""
     retry_jitter: float
     """The largest share by which a pause is shortened at random."""
-    watches_unasked: bool
+    watches_continuously: bool
     """Whether the client watches from its start and never stops; otherwise the policy asks for watches."""
     reports_unchanged_lists: bool
     """Whether the policy is notified of a response that holds nothing new: it waits for one to its call."""
 
 
 PUSHED_DISCOVERY = DiscoveryProfile(
-    hold_seconds=0.25,
-    hold_jitter=0.0,
+    long_poll_timeout_seconds=0.25,
+    long_poll_timeout_jitter=0.0,
     grace_seconds=0.2,
     snapshot_timeout_seconds=0.5,
     first_retry_pause_seconds=0.05,
     max_retry_pause_seconds=0.05,
     retry_jitter=0.0,
-    watches_unasked=True,
+    watches_continuously=True,
     reports_unchanged_lists=False,
 )
 """Lists come from an agent on this machine, and calls to it cost nothing.
@@ -76,14 +76,14 @@
 """
 
 POLLED_DISCOVERY = DiscoveryProfile(
-    hold_seconds=2.5,
-    hold_jitter=0.2,  # sidecars that were answered at once no longer call in step
+    long_poll_timeout_seconds=2.5,
+    long_poll_timeout_jitter=0.2,  # sidecars that were answered at once no longer call in step
     grace_seconds=0.5,
     snapshot_timeout_seconds=1.0,  # three calls and their pauses fit in the 4 s after a change of address
     first_retry_pause_seconds=0.25,
     max_retry_pause_seconds=1.5,  # should the new address be down
     retry_jitter=0.5,  # one signal to all sidecars would have them call in step
-    watches_unasked=False,
+    watches_continuously=False,
     reports_unchanged_lists=True,
 )
 """Lists come from a service that all sidecars share.
--- a/balancer/sidecar/discovery/retry.py
+++ b/balancer/sidecar/discovery/retry.py
@@ -45,7 +45,7 @@
     """
 
     def __init__(self, profile: DiscoveryProfile, random: Random) -> None:
-        self._repeats_always = profile.watches_unasked
+        self._always_retries = profile.watches_continuously
         self._backoff = Backoff(
             profile.first_retry_pause_seconds, profile.max_retry_pause_seconds, profile.retry_jitter, random
         )
@@ -62,7 +62,7 @@
             error: How the call failed.
             needs_snapshot: Whether a new address has yet to send its snapshot.
         """
-        if self._repeats_always or needs_snapshot:
+        if self._always_retries or needs_snapshot:
             return self._backoff.next_pause_seconds()
         if isinstance(error, DiscoveryTimeoutError):
             self._last_was_malformed = False
--- a/balancer/sidecar/discovery/start_times.py
+++ b/balancer/sidecar/discovery/start_times.py
@@ -21,12 +21,12 @@
 MAX_OFFSETS = 8
 """How many offsets are remembered: a start time may have been taken by any of them."""
 
-START_TOLERANCE_NS = SECOND_NS
+FUTURE_START_TOLERANCE_NS = SECOND_NS
 """A start at most this far in the future counts as one of this moment; a later one was taken by another
 offset."""
 
 
-class _KnownStart(NamedTuple):
+class _TranslatedStart(NamedTuple):
     """A start time as it was first translated, which is kept while the entry of the endpoint is the same."""
 
     wall_time_ns: int
@@ -49,13 +49,13 @@
         self._now_ns = now_ns
         self._wall_time_ns = wall_time_ns if wall_time_ns is not None else time.time_ns
         self._offsets_ns: deque[int] = deque(maxlen=MAX_OFFSETS)
-        self._known_starts: dict[EndpointId, _KnownStart] = {}
+        self._translated_starts: dict[EndpointId, _TranslatedStart] = {}
         self.observe_wall_clock()
 
     def observe_wall_clock(self) -> None:
         """Remember the present offset of the wall clock, unless it is one of those seen so far."""
         offset_ns = self._wall_time_ns() - self._now_ns()
-        if all(abs(offset_ns - known_ns) >= MIN_STEP_NS for known_ns in self._offsets_ns):
+        if all(abs(offset_ns - known_offset_ns) >= MIN_STEP_NS for known_offset_ns in self._offsets_ns):
             self._offsets_ns.append(offset_ns)
 
     def translate(self, endpoint: Endpoint) -> Endpoint:
@@ -64,22 +64,22 @@
         The start of an endpoint that is known stays as it was first translated, whatever the wall clock does.
         """
         if not endpoint.started_at_ns or endpoint.health == EndpointHealth.REMOVED:
-            self._known_starts.pop(endpoint.id, None)
+            self._translated_starts.pop(endpoint.id, None)
             return endpoint
-        known = self._known_starts.get(endpoint.id)
+        known = self._translated_starts.get(endpoint.id)
         if known is None or known.wall_time_ns != endpoint.started_at_ns:
-            known = _KnownStart(endpoint.started_at_ns, self._started_at_ns(endpoint.started_at_ns))
-            self._known_starts[endpoint.id] = known
+            known = _TranslatedStart(endpoint.started_at_ns, self._started_at_ns(endpoint.started_at_ns))
+            self._translated_starts[endpoint.id] = known
         return endpoint._replace(started_at_ns=known.started_at_ns)
 
-    def forget_all_but(self, endpoint_ids: set[EndpointId]) -> None:
+    def retain_only(self, endpoint_ids: set[EndpointId]) -> None:
         """Forget the endpoints that a snapshot does not list."""
-        for endpoint_id in self._known_starts.keys() - endpoint_ids:
-            del self._known_starts[endpoint_id]
+        for endpoint_id in self._translated_starts.keys() - endpoint_ids:
+            del self._translated_starts[endpoint_id]
 
     def _started_at_ns(self, wall_time_ns: int) -> int:
         self.observe_wall_clock()
         now_ns = self._now_ns()
         ages_ns = (now_ns + offset_ns - wall_time_ns for offset_ns in self._offsets_ns)
-        possible_ages_ns = [max(0, age_ns) for age_ns in ages_ns if age_ns >= -START_TOLERANCE_NS]
+        possible_ages_ns = [max(0, age_ns) for age_ns in ages_ns if age_ns >= -FUTURE_START_TOLERANCE_NS]
         return now_ns - min(possible_ages_ns, default=0)
--- a/balancer/sidecar/downstream/connection.py
+++ b/balancer/sidecar/downstream/connection.py
@@ -225,7 +225,7 @@
 
         The rest of what the client sends can't be divided into requests.
         """
-        self._metrics.count(Metric.REQUESTS_REFUSED, str(error.status.value))
+        self._metrics.count(Metric.INVALID_REQUESTS, str(error.status.value))
         self._reader.clear()
         self._open_exchange(is_last=True).respond(request_error_response(error))
 
@@ -262,7 +262,7 @@
             return
         if self._exchanges:
             detail = f"{len(self._exchanges)} requests unanswered, closed as {reason}"
-            self._metrics.record_violation(Invariant.CLOSE_AFTER_ANSWERS, detail)
+            self._metrics.record_violation(Invariant.CLOSE_AFTER_RESPONSES, detail)
         self._metrics.count(Metric.DOWNSTREAM_CLOSES, reason)
         self.lifecycle.begin_lingering()
         self._restart_wait()
--- a/balancer/sidecar/process/graceful_shutdown.py
+++ b/balancer/sidecar/process/graceful_shutdown.py
@@ -67,13 +67,13 @@
         self._listener.begin_shutdown()
         await asyncio.sleep(ACCEPT_NEW_CONNECTIONS_SECONDS)
         await self._acceptor.close()
-        await self._wait_for_clients(exit_at_seconds - DRAIN_BEFORE_EXIT_SECONDS)
+        await self._wait_until_closed(exit_at_seconds - DRAIN_BEFORE_EXIT_SECONDS)
         self._listener.begin_draining()
-        await self._wait_for_clients(exit_at_seconds - CLOSE_IDLE_BEFORE_EXIT_SECONDS)
+        await self._wait_until_closed(exit_at_seconds - CLOSE_IDLE_BEFORE_EXIT_SECONDS)
         self._listener.close_idle_connections()
-        await self._wait_for_clients(exit_at_seconds)
+        await self._wait_until_closed(exit_at_seconds)
 
-    async def _wait_for_clients(self, until_seconds: float) -> None:
+    async def _wait_until_closed(self, until_seconds: float) -> None:
         """Wait until all connections are closed, but no longer than until this time of the loop.
 
         A client that never finishes sending its request, or reading its response, is not waited for.
--- a/balancer/sidecar/process/lifecycle.py
+++ b/balancer/sidecar/process/lifecycle.py
@@ -38,15 +38,15 @@
     shutdown_requested = asyncio.Event()
     for shutdown_signal in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(shutdown_signal, shutdown_requested.set)
-    await _open_gossip(config, dispatcher)
-    dispatcher.start(config.known_endpoints)
+    await _open_gossip_socket(config, dispatcher)
+    dispatcher.start(config.cached_endpoints)
     discovery = DiscoveryClient(config.discovery_client(), dispatcher, loop)
     dispatcher.attach_discovery(discovery)
     reloader = ConfigurationReloader(discovery, loop)
     loop.add_signal_handler(signal.SIGHUP, reloader.request_reload)
     loop.add_signal_handler(signal.SIGUSR1, _log_metrics, dispatcher.metrics, logging.WARNING)
     discovery.start()
-    acceptor = _start_to_accept(config, dispatcher, listener)
+    acceptor = _start_accepting(config, dispatcher, listener)
     unblock_signals()  # the threads that resolve names run by now, and keep them blocked
     log.info("ready address=%s", config.listen_address)
     await shutdown_requested.wait()
@@ -63,7 +63,7 @@
     block_signals()
 
 
-async def _open_gossip(config: SidecarConfiguration, dispatcher: Dispatcher) -> None:
+async def _open_gossip_socket(config: SidecarConfiguration, dispatcher: Dispatcher) -> None:
     """Open the socket for messages of other sidecars, where there are any. Raises OSError."""
     if config.gossip_listen_address is None or not config.settings.gossip_enabled:
         return
@@ -72,7 +72,7 @@
     )
 
 
-def _start_to_accept(config: SidecarConfiguration, dispatcher: Dispatcher, listener: Listener) -> Acceptor:
+def _start_accepting(config: SidecarConfiguration, dispatcher: Dispatcher, listener: Listener) -> Acceptor:
     """Open the listening socket and accept the clients' connections. Raises OSError."""
     listening = open_listening_socket(config.listen_address)
     make_connection = partial(DownstreamConnection, listener)
--- a/balancer/sidecar/requests/attempt_guard.py
+++ b/balancer/sidecar/requests/attempt_guard.py
@@ -140,7 +140,7 @@
             f"executing_group={request.executing_group or NONE} "
             f"after_window_ms={(now_ns - window_end_ns) / MILLISECOND_NS:+.1f}"
         )
-        self._metrics.record_violation(Invariant.REPEAT_ALLOWED, detail)
+        self._metrics.record_violation(Invariant.RETRY_ALLOWED, detail)
 
     # ---- rejections
 
@@ -153,7 +153,7 @@
     def record_unsafe_rejection(self, request: InFlightRequest) -> None:
         """Count a rejection that `may_reject` forbids as a violation."""
         detail = f"request={request.request_id} last_endpoint={format_endpoint_id(request.endpoint_id)}"
-        self._metrics.record_violation(Invariant.REJECTION_HARMLESS, detail)
+        self._metrics.record_violation(Invariant.REJECTION_SAFE, detail)
 
     def _class_of(self, request: InFlightRequest) -> RequestClass:
         return self._classes[request.client_request.class_index]
--- a/balancer/sidecar/requests/client_disconnects.py
+++ b/balancer/sidecar/requests/client_disconnects.py
@@ -25,7 +25,7 @@
         request = self._ledger.mark_answered(request_id)
         if request is None:
             return
-        self._metrics.count(Metric.CLIENTS_LEFT)
+        self._metrics.count(Metric.CLIENTS_DISCONNECTED)
         self._ledger.forget_if_finished(request)
         self._events.dispatch(ClientDisconnected(request_id))
         if request.attempt is not None:
--- a/balancer/sidecar/requests/endpoint_updates.py
+++ b/balancer/sidecar/requests/endpoint_updates.py
@@ -33,7 +33,7 @@
         is_snapshot = kind != EndpointUpdateKind.DELTA
         self._upstream.update_endpoints(update.endpoints, is_snapshot)
         if is_snapshot:
-            self._start_times.forget_all_but({discovered.endpoint.id for discovered in update.endpoints})
+            self._start_times.retain_only({discovered.endpoint.id for discovered in update.endpoints})
         endpoints = tuple(self._start_times.translate(discovered.endpoint) for discovered in update.endpoints)
         self._guard.update_endpoints(endpoints, is_snapshot)
         self._metrics.count(Metric.ENDPOINT_UPDATES, kind.name.lower())
--- a/balancer/sidecar/requests/request_deadlines.py
+++ b/balancer/sidecar/requests/request_deadlines.py
@@ -90,6 +90,6 @@
             f"request={request.request_id} last_endpoint={format_endpoint_id(request.endpoint_id)} "
             f"attempts={request.attempt_count}"
         )
-        self._metrics.record_violation(Invariant.ANSWER_BY_DEADLINE, detail)
+        self._metrics.record_violation(Invariant.RESPONSE_BY_DEADLINE, detail)
         self._answers.fail(FailRequest(request.request_id))
         self._events.dispatch(ClientDisconnected(request.request_id))
--- a/balancer/sidecar/runtime/resource_limits.py
+++ b/balancer/sidecar/runtime/resource_limits.py
@@ -76,5 +76,5 @@
     They get the most, as one that has to make room soon costs a handshake. What is left over is for the
     reserve, for gossip, and for connections that are just closing or refused.
     """
-    just_closing = descriptors // 32
-    return max(1, descriptors - max_downstream_connections - RESERVED_DESCRIPTORS - just_closing)
+    closing_connections = descriptors // 32
+    return max(1, descriptors - max_downstream_connections - RESERVED_DESCRIPTORS - closing_connections)
--- a/soak/mutants.py
+++ b/soak/mutants.py
@@ -108,7 +108,7 @@
     _mutant(
         "start times follow steps of the wall clock",
         "balancer/sidecar/discovery/start_times.py",
-        "if all(abs(offset_ns - known_ns) >= MIN_STEP_NS for known_ns in self._offsets_ns):",
+        "if all(abs(offset_ns - known_offset_ns) >= MIN_STEP_NS for known_offset_ns in self._offsets_ns):",
         "if not self._offsets_ns:",
     ),
     _mutant(
@@ -156,7 +156,7 @@
     _mutant(
         "a watch that does not respond times out",
         "balancer/sidecar/discovery/client.py",
-        "timeout_seconds = hold_seconds + profile.grace_seconds",
+        "timeout_seconds = long_poll_timeout_seconds + profile.grace_seconds",
         "timeout_seconds = 60.0",
     ),
 )
--- a/tests/sidecar/discovery/scripted_discovery.py
+++ b/tests/sidecar/discovery/scripted_discovery.py
@@ -20,16 +20,16 @@
 from tests.sidecar.event_loop import TEST_TIMEOUT_SECONDS
 from tests.sidecar.messages import ok_response
 
-AnswerScript: TypeAlias = Callable[[asyncio.StreamWriter], Awaitable[None]]
+ResponseScript: TypeAlias = Callable[[asyncio.StreamWriter], Awaitable[None]]
 """Answers one call in its own way."""
 
 SHORT_TIMEOUT_SECONDS = 0.05  # replaces the timeout that a test is about; no other timeout may end its calls
 
-DRAIN_UPDATE = json.dumps(
+DRAINING_UPDATE = json.dumps(
     {"seq": 2, "whole": False, "hosts": [endpoint_entry("s-0", "127.0.0.1:9", "draining")]}, indent=2
 ).encode()
 UNCHANGED_UPDATE = b'{"seq":1,"whole":false,"hosts":[]}'
-INCOMPLETE_RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 40000\r\n\r\n" + DRAIN_UPDATE[:40]
+INCOMPLETE_RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 40000\r\n\r\n" + DRAINING_UPDATE[:40]
 DISCOVERY_FAILED = EndpointUpdate(EndpointUpdateKind.DISCOVERY_FAILED, ())
 
 
@@ -43,7 +43,7 @@
     return lambda event: isinstance(event, EndpointUpdate) and event.kind == kind
 
 
-def is_drain_update(event: Event) -> bool:
+def is_draining_update(event: Event) -> bool:
     if not isinstance(event, EndpointUpdate):
         return False
     return any(endpoint.health == EndpointHealth.DRAINING for endpoint in event.endpoints)
@@ -58,11 +58,11 @@
         script: Answers the second call; without one, the first call is answered with the drain.
     """
 
-    def __init__(self, script: AnswerScript | None) -> None:
+    def __init__(self, script: ResponseScript | None) -> None:
         self.socket = socket.socket()
         self.socket.bind(("127.0.0.1", 0))
         self.address = Address(*self.socket.getsockname())
-        self.dial = str(self.address)
+        self.address_text = str(self.address)
         self.request_lines: list[bytes] = []
         self.request_received = asyncio.Event()
         self.connections = 0
@@ -78,7 +78,7 @@
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.connections += 1
-        scripts = [send(ok_response(DRAIN_UPDATE))]
+        scripts = [send(ok_response(DRAINING_UPDATE))]
         if self._script is not None and self.connections == 1:
             scripts = [send(ok_response(UNCHANGED_UPDATE)), self._script, *scripts]
         with contextlib.suppress(ConnectionError, asyncio.IncompleteReadError):
@@ -92,14 +92,14 @@
         writer.close()
 
 
-def send(response: bytes) -> AnswerScript:
+def send(response: bytes) -> ResponseScript:
     async def script(writer: asyncio.StreamWriter) -> None:
         writer.write(response)
 
     return script
 
 
-def send_and_close(response: bytes) -> AnswerScript:
+def send_and_close(response: bytes) -> ResponseScript:
     async def script(writer: asyncio.StreamWriter) -> None:
         writer.write(response)
         writer.close()
@@ -114,7 +114,7 @@
     writer.transport.abort()
 
 
-async def send_without_end(writer: asyncio.StreamWriter) -> None:
+async def send_endless_response(writer: asyncio.StreamWriter) -> None:
     writer.write(INCOMPLETE_RESPONSE)
     while not writer.transport.is_closing():
         writer.write(b" ")
@@ -129,10 +129,10 @@
 
     Connects are refused, or hang as the only place in the backlog is taken and nothing is accepted.
     """
-    with socket.socket() as filler:
+    with socket.socket() as queued_client:
         if connect_hangs:
             discovery.socket.listen(0)
-            filler.connect(discovery.address)
+            queued_client.connect(discovery.address)
 
         async def make_reachable() -> None:
             if connect_hangs:
@@ -147,7 +147,7 @@
     """A call with the timing that the client chose for it."""
 
     timeout_seconds: float
-    hold_seconds: float | None
+    long_poll_timeout_seconds: float | None
     """None where the call fetches a snapshot."""
 
 
@@ -182,10 +182,12 @@
             return await self._finish_call(original_fetch(caller, replaced_seconds))
 
         async def watch(
-            caller: DiscoveryCaller, version: int, hold_seconds: float, timeout_seconds: float
+            caller: DiscoveryCaller, version: int, long_poll_timeout_seconds: float, timeout_seconds: float
         ) -> EndpointListUpdate:
-            replaced_seconds = self._start_call(caller, RecordedCall(timeout_seconds, hold_seconds))
-            return await self._finish_call(original_watch(caller, version, hold_seconds, replaced_seconds))
+            replaced_seconds = self._start_call(caller, RecordedCall(timeout_seconds, long_poll_timeout_seconds))
+            return await self._finish_call(
+                original_watch(caller, version, long_poll_timeout_seconds, replaced_seconds)
+            )
 
         monkeypatch.setattr(DiscoveryCaller, "fetch_snapshot", fetch_snapshot)
         monkeypatch.setattr(DiscoveryCaller, "watch", watch)
--- a/tests/sidecar/discovery/test_call.py
+++ b/tests/sidecar/discovery/test_call.py
@@ -16,11 +16,11 @@
 from balancer.sidecar.runtime.address import Address
 from tests.sidecar.configuration_documents import endpoint_entry
 from tests.sidecar.discovery.scripted_discovery import (
-    DRAIN_UPDATE,
+    DRAINING_UPDATE,
     CallRecorder,
     RecordedCall,
     discovery_settings,
-    is_drain_update,
+    is_draining_update,
     is_update_of,
 )
 from tests.sidecar.event_loop import TEST_TIMEOUT_SECONDS, run
@@ -55,7 +55,7 @@
             writer.write(ok_response(json.dumps(snapshot).encode()))
         elif len([target for target in self.targets if b"from" in target]) == 1:
             await self.watch_released.wait()
-            writer.write(ok_response(DRAIN_UPDATE))
+            writer.write(ok_response(DRAINING_UPDATE))
 
 
 def test_snapshot_is_fetched_beside_an_open_watch(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -65,20 +65,22 @@
     async def test() -> None:
         discovery = SnapshotServer()
         server = await asyncio.start_server(discovery.serve, "127.0.0.1", 0)
-        dial = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
+        address_text = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
         settings = discovery_settings(polled=True)
-        async with run_sidecar("127.0.0.1:9", discovery=dial, settings=settings) as sidecar:
+        async with run_sidecar("127.0.0.1:9", discovery=address_text, settings=settings) as sidecar:
             sidecar.discovery.set_watching(True)
             await discovery.request_received.wait()
             sidecar.discovery.fetch_snapshot()
             await sidecar.wait_for_event(is_update_of(EndpointUpdateKind.SNAPSHOT))
             discovery.watch_released.set()
-            await sidecar.wait_for_event(is_drain_update)
+            await sidecar.wait_for_event(is_draining_update)
             assert [target.split(b"&")[0] for target in discovery.targets[:2]] == [
                 b"/discovery/hosts?from=1",
                 b"/discovery/hosts",
             ]
-        assert recorder.calls[1] == RecordedCall(discovery_profile.FETCH_TIMEOUT_SECONDS, hold_seconds=None)
+        assert recorder.calls[1] == RecordedCall(
+            discovery_profile.FETCH_TIMEOUT_SECONDS, long_poll_timeout_seconds=None
+        )
         server.close()
 
     run(test())
@@ -86,11 +88,11 @@
 
 def test_error_carries_the_address_and_the_problem() -> None:
     async def test() -> None:
-        dial = unreachable_address()
-        host, _, port = dial.rpartition(":")
+        address_text = unreachable_address()
+        host, _, port = address_text.rpartition(":")
         loop = asyncio.get_running_loop()
         caller = DiscoveryCaller(Address(host, int(port)), NameIndices({}, {}), TEST_TIMEOUT_SECONDS, loop)
-        with pytest.raises(DiscoveryCallError, match=f"call to discovery at {dial} failed: ") as caught:
+        with pytest.raises(DiscoveryCallError, match=f"call to discovery at {address_text} failed: ") as caught:
             await caller.fetch_snapshot(TEST_TIMEOUT_SECONDS)
         assert isinstance(caught.value, DiscoveryError)
         assert caught.value.address == (host, int(port))
--- a/tests/sidecar/discovery/test_client.py
+++ b/tests/sidecar/discovery/test_client.py
@@ -25,19 +25,19 @@
 from tests.sidecar.configuration_documents import endpoint_entry
 from tests.sidecar.discovery.scripted_discovery import (
     DISCOVERY_FAILED,
-    DRAIN_UPDATE,
+    DRAINING_UPDATE,
     INCOMPLETE_RESPONSE,
     UNCHANGED_UPDATE,
-    AnswerScript,
+    ResponseScript,
     CallRecorder,
     ScriptedDiscovery,
     discovery_settings,
-    is_drain_update,
+    is_draining_update,
     is_update_of,
     reset_connection,
     send,
     send_and_close,
-    send_without_end,
+    send_endless_response,
     unreachable,
 )
 from tests.sidecar.event_loop import run
@@ -58,7 +58,7 @@
 
 
 @pushed_and_polled
-def test_connect_timeout_is_within_the_grace(polled: bool) -> None:
+def test_connect_timeout_is_at_most_the_grace_period(polled: bool) -> None:
     """So a call whose connection is established late still has its whole hold."""
 
     async def test() -> None:
@@ -73,72 +73,82 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ending:
+class CallOutcome:
     """How a call ends."""
 
-    script: AnswerScript | None
+    script: ResponseScript | None
     """Answers the call; None where discovery cannot be reached."""
     error_type: type[DiscoveryCallError] | None
     """The error of the call; None where it succeeds."""
     connect_hangs: bool = False
 
 
-ENDINGS = {
-    "error status": Ending(send(status_response(503)), DiscoveryCallError),
-    "closed": Ending(send_and_close(b""), DiscoveryCallError),
-    "reset": Ending(reset_connection, DiscoveryCallError),
-    "truncated response": Ending(send_and_close(INCOMPLETE_RESPONSE), MalformedDiscoveryResponseError),
-    "invalid HTTP": Ending(
+CALL_OUTCOMES = {
+    "error status": CallOutcome(send(status_response(503)), DiscoveryCallError),
+    "closed": CallOutcome(send_and_close(b""), DiscoveryCallError),
+    "reset": CallOutcome(reset_connection, DiscoveryCallError),
+    "truncated response": CallOutcome(send_and_close(INCOMPLETE_RESPONSE), MalformedDiscoveryResponseError),
+    "invalid HTTP": CallOutcome(
         send(b"HTTP/1.1 200 OK\r\nContent-Length: x\r\n\r\n"), MalformedDiscoveryResponseError
     ),
-    "invalid JSON": Ending(send(ok_response(DRAIN_UPDATE[:-9])), MalformedDiscoveryResponseError),
-    "timeout before the response": Ending(send(b""), DiscoveryTimeoutError),
-    "timeout in the response": Ending(send(INCOMPLETE_RESPONSE), DiscoveryTimeoutError),
-    "response without end": Ending(send_without_end, DiscoveryTimeoutError),
-    "no changes": Ending(send(ok_response(UNCHANGED_UPDATE)), None),
-    "connect refused": Ending(None, DiscoveryCallError),
-    "connect timed out": Ending(None, DiscoveryCallError, connect_hangs=True),
+    "invalid JSON": CallOutcome(send(ok_response(DRAINING_UPDATE[:-9])), MalformedDiscoveryResponseError),
+    "timeout before the response": CallOutcome(send(b""), DiscoveryTimeoutError),
+    "timeout in the response": CallOutcome(send(INCOMPLETE_RESPONSE), DiscoveryTimeoutError),
+    "response without end": CallOutcome(send_endless_response, DiscoveryTimeoutError),
+    "no changes": CallOutcome(send(ok_response(UNCHANGED_UPDATE)), None),
+    "connect refused": CallOutcome(None, DiscoveryCallError),
+    "connect timed out": CallOutcome(None, DiscoveryCallError, connect_hangs=True),
 }
 
 
 def assert_timing_matches_profile(recorder: CallRecorder, request_lines: list[bytes], polled: bool) -> None:
     profile = POLLED_DISCOVERY if polled else PUSHED_DISCOVERY
     for call in recorder.calls:
-        assert call.hold_seconds is not None
-        assert profile.hold_seconds / 2 <= call.hold_seconds <= profile.hold_seconds
-        assert call.timeout_seconds <= profile.hold_seconds + profile.grace_seconds
+        assert call.long_poll_timeout_seconds is not None
+        assert (
+            profile.long_poll_timeout_seconds / 2
+            <= call.long_poll_timeout_seconds
+            <= profile.long_poll_timeout_seconds
+        )
+        assert call.timeout_seconds <= profile.long_poll_timeout_seconds + profile.grace_seconds
     assert request_lines
     for line in request_lines:
         match = re.fullmatch(rb"GET /discovery/hosts\?from=\d+&hold_ms=(\d+) HTTP/1\.1", line)
         assert match is not None
-        assert profile.hold_seconds / 2 <= int(match[1]) / 1000 <= profile.hold_seconds
+        assert (
+            profile.long_poll_timeout_seconds / 2
+            <= int(match[1]) / 1000
+            <= profile.long_poll_timeout_seconds
+        )
 
 
 @pushed_and_polled
-@pytest.mark.parametrize("name", ENDINGS)
+@pytest.mark.parametrize("name", CALL_OUTCOMES)
 def test_next_call_brings_the_change(name: str, polled: bool, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(discovery_polling, "MAX_POLL_SPREAD_NS", SECOND_NS // 100)
-    ending = ENDINGS[name]
-    times_out = ending.error_type is DiscoveryTimeoutError
-    recorder = CallRecorder(monkeypatch, 1 if times_out else None, short_connect=ending.connect_hangs)
+    outcome = CALL_OUTCOMES[name]
+    times_out = outcome.error_type is DiscoveryTimeoutError
+    recorder = CallRecorder(monkeypatch, 1 if times_out else None, short_connect=outcome.connect_hangs)
     request_lines: list[bytes] = []
 
     async def test() -> None:
-        discovery = ScriptedDiscovery(ending.script)
-        async with unreachable(discovery, ending.connect_hangs) as make_reachable:
-            if ending.script is not None:
+        discovery = ScriptedDiscovery(outcome.script)
+        async with unreachable(discovery, outcome.connect_hangs) as make_reachable:
+            if outcome.script is not None:
                 await discovery.listen()
             else:
                 recorder.on_first_failure = make_reachable
             settings = discovery_settings(polled)
-            async with run_sidecar("127.0.0.1:9", discovery=discovery.dial, settings=settings) as sidecar:
+            async with run_sidecar(
+                "127.0.0.1:9", discovery=discovery.address_text, settings=settings
+            ) as sidecar:
                 start_watching(sidecar, polled)
-                await sidecar.wait_for_event(is_drain_update)
+                await sidecar.wait_for_event(is_draining_update)
                 reported_failures = sidecar.events.count(DISCOVERY_FAILED)
-        assert recorder.error_types == ([ending.error_type] if ending.error_type else [])
+        assert recorder.error_types == ([outcome.error_type] if outcome.error_type else [])
         # A failed call is reported once, and the policy starts the next one. The policy does not see a call
         # that may have brought a change: the client repeats it.
-        assert reported_failures == (polled and ending.error_type is DiscoveryCallError)
+        assert reported_failures == (polled and outcome.error_type is DiscoveryCallError)
         discovery.close()
         request_lines.extend(discovery.request_lines)
 
@@ -146,27 +156,27 @@
     assert_timing_matches_profile(recorder, request_lines, polled)
 
 
-def test_holds_of_polled_watches_are_spread(monkeypatch: pytest.MonkeyPatch) -> None:
-    holds: list[str] = []
+def test_long_poll_timeouts_of_polled_watches_are_spread(monkeypatch: pytest.MonkeyPatch) -> None:
+    timeouts_ms: list[str] = []
 
     async def test(seed: str) -> None:
         discovery = ScriptedDiscovery(send(ok_response(UNCHANGED_UPDATE)))
         await discovery.listen()
         settings = discovery_settings(polled=True)
         async with run_sidecar(
-            "127.0.0.1:9", discovery=discovery.dial, settings=settings, seed=seed
+            "127.0.0.1:9", discovery=discovery.address_text, settings=settings, seed=seed
         ) as sidecar:
             start_watching(sidecar, polled=True)
-            await sidecar.wait_for_event(is_drain_update)
+            await sidecar.wait_for_event(is_draining_update)
         targets = [line.split()[1] for line in discovery.request_lines[:3]]
-        holds.extend(target.partition(b"hold_ms=")[2].decode() for target in targets)
+        timeouts_ms.extend(target.partition(b"hold_ms=")[2].decode() for target in targets)
 
     for seed in ("1f", "20", "21"):
         with monkeypatch.context() as patch:
             CallRecorder(patch)
             run(test(seed))
-    assert len(holds) == 9
-    assert len(set(holds)) > 6
+    assert len(timeouts_ms) == 9
+    assert len(set(timeouts_ms)) > 6
 
 
 # ---- a new address
@@ -188,7 +198,9 @@
             if not connect_hangs:
                 await make_reachable()
             settings = discovery_settings(polled)
-            async with run_sidecar("127.0.0.1:9", discovery=old_discovery.dial, settings=settings) as sidecar:
+            async with run_sidecar(
+                "127.0.0.1:9", discovery=old_discovery.address_text, settings=settings
+            ) as sidecar:
                 start_watching(sidecar, polled)
                 hanging_call = 1 if connect_hangs else 2
                 await wait_until_signalled(lambda: len(recorder.calls) >= hanging_call, recorder.call_started)
@@ -313,7 +325,7 @@
 
 
 @pushed_and_polled
-def test_update_that_could_not_be_taken_is_fetched_again(polled: bool) -> None:
+def test_update_that_could_not_be_applied_is_fetched_again(polled: bool) -> None:
     """Otherwise the watch would have ended for ever, with the change that it brought."""
     snapshot = json.dumps(
         {"seq": 2, "whole": True, "hosts": [endpoint_entry("s-0", "127.0.0.1:9", "draining")]}
@@ -333,7 +345,7 @@
             sidecar.discovery = DiscoveryClient(sidecar.config.discovery_client(), observer, loop)
             sidecar.dispatcher.attach_discovery(sidecar.discovery)
             start_watching(sidecar, polled)
-            await sidecar.wait_for_event(is_drain_update)
+            await sidecar.wait_for_event(is_draining_update)
             assert discovery.received_requests[1].request_line == b"GET /discovery/hosts HTTP/1.1"
 
     run(test())
--- a/tests/sidecar/discovery/test_discovery_over_sockets.py
+++ b/tests/sidecar/discovery/test_discovery_over_sockets.py
@@ -27,7 +27,7 @@
 from tests.sidecar.sidecar_under_test import Sidecar, run_sidecar
 
 UNUSED_ADDRESS = "127.0.0.1:9"
-ON_REQUEST = change_classes(Discovery="on_request")
+POLLED_SETTINGS = change_classes(Discovery="on_request")
 """The settings with which endpoint lists are asked for, not pushed."""
 
 
@@ -36,7 +36,7 @@
     return lambda event: isinstance(event, EndpointUpdate) and event.kind == kind
 
 
-is_snapshot = is_endpoint_update(EndpointUpdateKind.SNAPSHOT)
+is_snapshot_update = is_endpoint_update(EndpointUpdateKind.SNAPSHOT)
 is_discovery_failure = is_endpoint_update(EndpointUpdateKind.DISCOVERY_FAILED)
 
 
@@ -53,9 +53,9 @@
     return script, paths
 
 
-def list_response(sequence: int, *entries: dict[str, Any], whole: bool = True) -> bytes:
+def list_response(sequence: int, *entries: dict[str, Any], is_snapshot: bool = True) -> bytes:
     """Return a response with an endpoint list."""
-    return ok_response(json.dumps(endpoint_list(sequence, *entries, is_snapshot=whole)).encode())
+    return ok_response(json.dumps(endpoint_list(sequence, *entries, is_snapshot=is_snapshot)).encode())
 
 
 def tolerate_late_responses(sidecar: Sidecar) -> None:
@@ -71,7 +71,7 @@
 
 
 @async_test
-async def test_watch_continues_from_known_sequence_after_any_failure() -> None:
+async def test_watch_continues_from_last_version_after_any_failure() -> None:
     added = endpoint_entry("s-1", UNUSED_ADDRESS)
     drained = endpoint_entry("s-1", UNUSED_ADDRESS, "draining")
     script, paths = respond_in_turn(
@@ -80,10 +80,10 @@
         ok_response(b"no JSON"),
         ok_response(b"[]"),
         ok_response(b'{"seq":1,"hosts":[7]}'),
-        list_response(2, endpoint_entry("s-1", UNUSED_ADDRESS) | {"share": math.inf}, whole=False),
-        list_response(1, whole=False),
-        list_response(2, added, whole=False),
-        list_response(3, drained, whole=False),
+        list_response(2, endpoint_entry("s-1", UNUSED_ADDRESS) | {"share": math.inf}, is_snapshot=False),
+        list_response(1, is_snapshot=False),
+        list_response(2, added, is_snapshot=False),
+        list_response(3, drained, is_snapshot=False),
         list_response(4, endpoint_entry("s-2", UNUSED_ADDRESS)),
     )
 
@@ -93,7 +93,7 @@
     ):
         tolerate_late_responses(sidecar)
         sidecar.discovery.start()
-        snapshot = await sidecar.wait_for_event(is_snapshot)
+        snapshot = await sidecar.wait_for_event(is_snapshot_update)
         assert [endpoint.id for endpoint in snapshot.endpoints] == [derive_endpoint_id("s-2")]
         updates = [event for event in sidecar.events if isinstance(event, EndpointUpdate)]
         assert [update.kind for update in updates] == [1, 2, 2, 3]
@@ -105,7 +105,7 @@
 
 
 @async_test
-async def test_hung_watch_is_abandoned_and_next_one_brings_list() -> None:
+async def test_hung_watch_times_out_and_next_one_brings_list() -> None:
     """A watch that hangs would otherwise leave the sidecar with the list that it has."""
     calls: list[ReceivedRequest] = []
 
@@ -120,52 +120,52 @@
         run_sidecar(UNUSED_ADDRESS, discovery=endpoint.address) as sidecar,
     ):
         sidecar.discovery.start()
-        await sidecar.wait_for_event(is_snapshot)
+        await sidecar.wait_for_event(is_snapshot_update)
         assert calls[0].connection_closed.is_set()
         assert len(calls) >= 2
 
 
 @async_test
-async def test_new_discovery_address_is_asked_for_snapshot_at_once() -> None:
+async def test_snapshot_is_requested_from_new_discovery_address_at_once() -> None:
     """Its sequence may start anew: a list with the number that the former had must not be skipped."""
-    former_script, _ = respond_in_turn(list_response(7, endpoint_entry("s-1", UNUSED_ADDRESS)))
-    current_script, paths = respond_in_turn(
+    old_script, _ = respond_in_turn(list_response(7, endpoint_entry("s-1", UNUSED_ADDRESS)))
+    new_script, paths = respond_in_turn(
         None, ok_response(b"no JSON"), list_response(7, endpoint_entry("s-2", UNUSED_ADDRESS))
     )
     async with (
-        run_endpoint(former_script) as before,
-        run_endpoint(current_script) as after,
-        run_sidecar(UNUSED_ADDRESS, discovery=before.address) as sidecar,
+        run_endpoint(old_script) as old_discovery,
+        run_endpoint(new_script) as new_discovery,
+        run_sidecar(UNUSED_ADDRESS, discovery=old_discovery.address) as sidecar,
     ):
         tolerate_late_responses(sidecar)
         sidecar.discovery.start()
-        await sidecar.wait_for_event(is_snapshot)
-        await wait_until(lambda: len(before.received_requests) >= 2)
-        change_discovery_address(sidecar, after.address)
-        change_discovery_address(sidecar, after.address)  # the same address
+        await sidecar.wait_for_event(is_snapshot_update)
+        await wait_until(lambda: len(old_discovery.received_requests) >= 2)
+        change_discovery_address(sidecar, new_discovery.address)
+        change_discovery_address(sidecar, new_discovery.address)  # the same address
         await sidecar.wait_for_event(
-            lambda event: is_snapshot(event) and event.endpoints[0].id == derive_endpoint_id("s-2")
+            lambda event: is_snapshot_update(event) and event.endpoints[0].id == derive_endpoint_id("s-2")
         )
-        await before.received_requests[1].connection_closed.wait()  # the former watch has ended
+        await old_discovery.received_requests[1].connection_closed.wait()  # the former watch has ended
         await wait_until(lambda: len(paths) >= 4)
         assert paths[:3] == [b"/discovery/hosts"] * 3
         assert paths[3].startswith(b"/discovery/hosts?from=7&")
-        assert len(before.received_requests) == 2
+        assert len(old_discovery.received_requests) == 2
 
 
 @async_test
 async def test_last_of_several_new_discovery_addresses_is_used() -> None:
-    silent_script, _ = respond_in_turn()
+    unresponsive_script, _ = respond_in_turn()
     last_script, paths = respond_in_turn(list_response(1, endpoint_entry("s-2", UNUSED_ADDRESS)))
     async with (
-        run_endpoint(silent_script) as first,
+        run_endpoint(unresponsive_script) as first,
         run_endpoint(last_script) as second,
         run_sidecar(UNUSED_ADDRESS, discovery=unreachable_address()) as sidecar,
     ):
         sidecar.discovery.start()
         for address in (first.address, unreachable_address(), first.address, second.address):
             change_discovery_address(sidecar, address)
-        snapshot = await sidecar.wait_for_event(is_snapshot)
+        snapshot = await sidecar.wait_for_event(is_snapshot_update)
         assert snapshot.endpoints[0].id == derive_endpoint_id("s-2")
         assert paths
 
@@ -194,7 +194,7 @@
 
 @pytest.mark.parametrize("first", INCOMPLETE_RESPONSES, ids=["silent", "malformed", "cut", "junk"])
 @async_test
-async def test_watch_that_may_have_missed_update_is_reopened_at_once(first: bytes | None) -> None:
+async def test_watch_that_may_have_missed_update_is_retried_at_once(first: bytes | None) -> None:
     """Left to the policy, the next call could be seconds late, and a draining endpoint get requests."""
     paths: list[bytes] = []
     on_first_call: list[Callable[[], None]] = []
@@ -212,10 +212,10 @@
 
     async with (
         run_endpoint(script) as endpoint,
-        run_sidecar(UNUSED_ADDRESS, discovery=endpoint.address, settings=ON_REQUEST) as sidecar,
+        run_sidecar(UNUSED_ADDRESS, discovery=endpoint.address, settings=POLLED_SETTINGS) as sidecar,
     ):
-        short_profile = replace(sidecar.discovery.profile, hold_seconds=1.0, grace_seconds=0.0)
-        long_profile = replace(short_profile, hold_seconds=TEST_TIMEOUT_SECONDS)
+        short_profile = replace(sidecar.discovery.profile, long_poll_timeout_seconds=1.0, grace_seconds=0.0)
+        long_profile = replace(short_profile, long_poll_timeout_seconds=TEST_TIMEOUT_SECONDS)
         sidecar.discovery.profile = short_profile
         sidecar.discovery.caller.connect_timeout_seconds = TEST_TIMEOUT_SECONDS
         # Later calls may be slow.
@@ -231,13 +231,13 @@
     "response", [None, b"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n", INCOMPLETE_RESPONSES[1]]
 )
 @async_test
-async def test_watch_that_fails_again_is_left_to_policy(response: bytes | None) -> None:
+async def test_watch_that_fails_again_is_retried_by_policy(response: bytes | None) -> None:
     async def script(_request: ReceivedRequest) -> bytes | None:
         return response
 
     async with (
         run_endpoint(script) as endpoint,
-        run_sidecar(UNUSED_ADDRESS, discovery=endpoint.address, settings=ON_REQUEST) as sidecar,
+        run_sidecar(UNUSED_ADDRESS, discovery=endpoint.address, settings=POLLED_SETTINGS) as sidecar,
     ):
         tolerate_late_responses(sidecar)
         sidecar.discovery.set_watching(True)
@@ -246,13 +246,13 @@
 
 
 @async_test
-async def test_new_discovery_address_is_asked_until_it_answers() -> None:
+async def test_new_discovery_address_is_called_until_it_responds() -> None:
     """Left to the policy after a failure, the list would come later than it counts as up to date."""
-    former_called = asyncio.Event()
+    old_address_called = asyncio.Event()
     failures = [None, INCOMPLETE_RESPONSES[1], status_response(503)]
 
-    async def stay_silent(received: ReceivedRequest) -> bytes:
-        former_called.set()
+    async def never_respond(received: ReceivedRequest) -> bytes:
+        old_address_called.set()
         return await never_answer(received)
 
     async def fail_at_first(_request: ReceivedRequest) -> bytes | None:
@@ -261,17 +261,17 @@
         return list_response(1, endpoint_entry("s-2", UNUSED_ADDRESS))
 
     async with (
-        run_endpoint(stay_silent) as before,
-        run_endpoint(fail_at_first) as after,
-        run_sidecar(UNUSED_ADDRESS, discovery=before.address, settings=ON_REQUEST) as sidecar,
+        run_endpoint(never_respond) as old_discovery,
+        run_endpoint(fail_at_first) as new_discovery,
+        run_sidecar(UNUSED_ADDRESS, discovery=old_discovery.address, settings=POLLED_SETTINGS) as sidecar,
     ):
         sidecar.discovery.set_watching(True)
-        await former_called.wait()
-        change_discovery_address(sidecar, after.address)
-        update = await sidecar.wait_for_event(is_snapshot)
+        await old_address_called.wait()
+        change_discovery_address(sidecar, new_discovery.address)
+        update = await sidecar.wait_for_event(is_snapshot_update)
         assert update.endpoints[0].id == derive_endpoint_id("s-2")
         assert not any(is_discovery_failure(event) for event in sidecar.events)
-        assert [received.request_line.split()[1] for received in after.received_requests[:4]] == [
+        assert [received.request_line.split()[1] for received in new_discovery.received_requests[:4]] == [
             b"/discovery/hosts"
         ] * 4
-        assert len(before.received_requests) == 1
+        assert len(old_discovery.received_requests) == 1
--- a/tests/sidecar/discovery/test_endpoint_list.py
+++ b/tests/sidecar/discovery/test_endpoint_list.py
@@ -45,7 +45,7 @@
     settings = SETTINGS | {"Azs": ["bangna", "ladprao"], "Kinds": ["new-4c", "old-2c"]}
     known = parse_configuration(
         configuration(settings=settings, known=json.loads(STORED_LIST))
-    ).known_endpoints
+    ).cached_endpoints
     assert known.version == 41
     assert known.is_snapshot is True
     assert known.endpoints == (
@@ -74,7 +74,7 @@
 
 @pytest.mark.parametrize("absent", [None, {}, []])
 def test_missing_list_is_an_empty_snapshot(absent: object) -> None:
-    known = parse_configuration(configuration(known=absent)).known_endpoints
+    known = parse_configuration(configuration(known=absent)).cached_endpoints
     assert known.version == 0
     assert known.is_snapshot is True
     assert known.endpoints == ()
@@ -147,7 +147,7 @@
 
 
 @pytest.mark.parametrize("health", ["draining", "removed"])
-def test_departing_entry_whose_host_cannot_be_encoded_hides_no_other(health: str) -> None:
+def test_draining_or_removed_entry_whose_host_cannot_be_encoded_hides_no_other(health: str) -> None:
     unencodable = endpoint_entry("s-\ud800", "127.0.0.1:9", health)
     document = endpoint_list(7, unencodable, endpoint_entry("s-1", "127.0.0.1:9", "draining"))
     [other] = parse_endpoint_list(document, NAMES).endpoints
--- a/tests/sidecar/discovery/test_profile.py
+++ b/tests/sidecar/discovery/test_profile.py
@@ -15,10 +15,10 @@
 from tests.policy.harness import BalancerHarness
 from tests.sidecar.discovery.scripted_discovery import DISCOVERY_FAILED
 
-KNOWN_AFTER_SECONDS = 6.0  # since discovery can be reached; then a change counts as known
-KNOWN_AFTER_ADDRESS_CHANGE_SECONDS = 4.0
+MAX_UPDATE_DELAY_SECONDS = 6.0  # since discovery can be reached; then a change counts as known
+MAX_UPDATE_DELAY_AFTER_ADDRESS_CHANGE_SECONDS = 4.0
 MARGIN_SECONDS = 0.5
-SUCCESSFUL_CALL_SECONDS = 0.5  # its connection, its answer, and the lateness of the event loop
+MAX_SUCCESSFUL_CALL_SECONDS = 0.5  # its connection, its answer, and the lateness of the event loop
 
 
 def longest_delays_seconds(polled: bool, poll_window_ns: int) -> dict[str, float]:
@@ -34,7 +34,7 @@
     else:
         profile = PUSHED_DISCOVERY
         pause = immediate_retry = profile.max_retry_pause_seconds
-    call = profile.hold_seconds + profile.grace_seconds
+    call = profile.long_poll_timeout_seconds + profile.grace_seconds
     connect = profile.grace_seconds
     delays = {
         "connect refused": pause,
@@ -51,24 +51,24 @@
         "new address fails": profile.snapshot_timeout_seconds + profile.max_retry_pause_seconds,
         "single fetch of the whole list fails": discovery_profile.FETCH_TIMEOUT_SECONDS + pause,
     }
-    return {ending: seconds + SUCCESSFUL_CALL_SECONDS for ending, seconds in delays.items()}
+    return {outcome: seconds + MAX_SUCCESSFUL_CALL_SECONDS for outcome, seconds in delays.items()}
 
 
 @pytest.mark.parametrize("polled", [False, True], ids=["pushed", "polled"])
 @pytest.mark.parametrize("poll_window_ns", [SECOND_NS, 10 * SECOND_NS, 60 * SECOND_NS])
-def test_change_is_received_before_it_counts_as_known(polled: bool, poll_window_ns: int) -> None:
+def test_change_is_received_within_the_maximum_delay(polled: bool, poll_window_ns: int) -> None:
     delays = longest_delays_seconds(polled, poll_window_ns)
-    longest_allowed = KNOWN_AFTER_SECONDS - MARGIN_SECONDS
-    assert not {ending: seconds for ending, seconds in delays.items() if seconds > longest_allowed}
+    longest_allowed = MAX_UPDATE_DELAY_SECONDS - MARGIN_SECONDS
+    assert not {outcome: seconds for outcome, seconds in delays.items() if seconds > longest_allowed}
 
 
 def test_three_snapshot_calls_fit_in_the_time_after_an_address_change() -> None:
     polled, pushed = POLLED_DISCOVERY, PUSHED_DISCOVERY
     pauses = [polled.first_retry_pause_seconds * 2**retry for retry in range(2)]
     assert max(pauses) <= polled.max_retry_pause_seconds
-    assert 3 * polled.snapshot_timeout_seconds + sum(pauses) < KNOWN_AFTER_ADDRESS_CHANGE_SECONDS
+    assert 3 * polled.snapshot_timeout_seconds + sum(pauses) < MAX_UPDATE_DELAY_AFTER_ADDRESS_CHANGE_SECONDS
     pushed_seconds = 3 * pushed.snapshot_timeout_seconds + 2 * pushed.max_retry_pause_seconds
-    assert pushed_seconds < KNOWN_AFTER_ADDRESS_CHANGE_SECONDS
+    assert pushed_seconds < MAX_UPDATE_DELAY_AFTER_ADDRESS_CHANGE_SECONDS
 
 
 def next_watch_delay_ns(harness: BalancerHarness) -> int:
--- a/tests/sidecar/discovery/test_retry.py
+++ b/tests/sidecar/discovery/test_retry.py
@@ -33,7 +33,7 @@
     assert len(set(pauses)) == 50
 
 
-def test_polled_watch_is_repeated_after_timeouts_and_once_after_a_malformed_response() -> None:
+def test_polled_watch_is_retried_after_timeouts_and_once_after_a_malformed_response() -> None:
     policy = WatchRetryPolicy(POLLED_DISCOVERY, Random(1))
     pauses = [policy.pause_seconds_after(error, False) for error in (TIMEOUT, TIMEOUT, MALFORMED, MALFORMED)]
     assert pauses == [0.0, 0.0, 0.0, None]
@@ -49,7 +49,7 @@
     [(PUSHED_DISCOVERY, False), (POLLED_DISCOVERY, True)],
     ids=["pushed", "polled without a snapshot"],
 )
-def test_pushed_watch_and_first_snapshot_are_repeated_after_a_pause(
+def test_pushed_watch_and_first_snapshot_are_retried_after_a_pause(
     profile: DiscoveryProfile, needs_snapshot: bool
 ) -> None:
     policy = WatchRetryPolicy(profile, Random(1))
--- a/tests/sidecar/discovery/test_wall_clock_steps.py
+++ b/tests/sidecar/discovery/test_wall_clock_steps.py
@@ -65,10 +65,13 @@
         self._dispatcher = Dispatcher(self._config, loop, Clock(), self.policy)
 
     def listed_age_ns(
-        self, born_ns: int, name: str = "s-new", kind: EndpointUpdateKind = EndpointUpdateKind.DELTA
+        self,
+        start_wall_time_ns: int,
+        name: str = "s-new",
+        kind: EndpointUpdateKind = EndpointUpdateKind.DELTA,
     ) -> int:
         """Apply an endpoint update with one endpoint, and return the age that the policy sees."""
-        entry = endpoint_entry(name, "127.0.0.1:9") | {"born_ms": born_ns // MILLISECOND_NS}
+        entry = endpoint_entry(name, "127.0.0.1:9") | {"born_ms": start_wall_time_ns // MILLISECOND_NS}
         update = parse_endpoint_list(endpoint_list(2, entry, is_snapshot=False), self._config.name_indices)
         self._dispatcher.on_endpoint_update(update, kind)
         return self.policy.ages_ns[-1]
@@ -76,37 +79,37 @@
 
 @pytest.mark.parametrize("step_seconds", [HOUR_SECONDS, -HOUR_SECONDS, 5, -5])
 @async_test
-async def test_endpoint_born_after_step_is_new(step_seconds: int) -> None:
+async def test_endpoint_started_after_step_is_new(step_seconds: int) -> None:
     with pytest.MonkeyPatch.context() as monkeypatch:
         wall_clock = SteppedWallClock(monkeypatch)
         sidecar = Sidecar()
         wall_clock.step(step_seconds)
-        assert sidecar.listed_age_ns(born_ns=wall_clock.time_ns()) == 0
+        assert sidecar.listed_age_ns(start_wall_time_ns=wall_clock.time_ns()) == 0
 
 
 @pytest.mark.parametrize("step_seconds", [HOUR_SECONDS, -HOUR_SECONDS, 5, -5])
 @async_test
-async def test_endpoint_that_is_known_keeps_its_age_over_step(step_seconds: int) -> None:
+async def test_known_endpoint_keeps_its_age_across_step(step_seconds: int) -> None:
     with pytest.MonkeyPatch.context() as monkeypatch:
         wall_clock = SteppedWallClock(monkeypatch)
         sidecar = Sidecar()
-        born_ns = wall_clock.time_ns() - 3 * SECOND_NS
-        sidecar.listed_age_ns(born_ns)
+        start_wall_time_ns = wall_clock.time_ns() - 3 * SECOND_NS
+        sidecar.listed_age_ns(start_wall_time_ns)
         wall_clock.step(step_seconds)
-        assert sidecar.listed_age_ns(born_ns) == 3 * SECOND_NS
+        assert sidecar.listed_age_ns(start_wall_time_ns) == 3 * SECOND_NS
 
 
 @pytest.mark.parametrize("step_seconds", [HOUR_SECONDS, -HOUR_SECONDS, 5, -5])
 @async_test
-async def test_endpoint_born_before_step_and_listed_after_it_is_not_taken_for_older(
+async def test_age_is_not_overestimated_if_endpoint_started_before_step_and_is_listed_after_it(
     step_seconds: int,
 ) -> None:
     with pytest.MonkeyPatch.context() as monkeypatch:
         wall_clock = SteppedWallClock(monkeypatch)
         sidecar = Sidecar()
-        born_ns = wall_clock.time_ns() - 3 * SECOND_NS
+        start_wall_time_ns = wall_clock.time_ns() - 3 * SECOND_NS
         wall_clock.step(step_seconds)
-        assert 0 <= sidecar.listed_age_ns(born_ns) < 3 * SECOND_NS + MAX_ERROR_NS
+        assert 0 <= sidecar.listed_age_ns(start_wall_time_ns) < 3 * SECOND_NS + MAX_ERROR_NS
 
 
 @async_test
@@ -120,7 +123,7 @@
 
 
 @async_test
-async def test_start_in_the_future_counts_from_when_it_is_heard_of() -> None:
+async def test_start_time_in_the_future_counts_as_the_time_of_the_update() -> None:
     """A sidecar that started after a step back, and an endpoint from before it."""
     sidecar = Sidecar()
     age_ns = sidecar.listed_age_ns(
@@ -130,6 +133,6 @@
 
 
 @async_test
-async def test_start_long_ago_stays_unknown() -> None:
+async def test_start_time_zero_counts_as_long_ago() -> None:
     sidecar = Sidecar()
-    assert sidecar.listed_age_ns(born_ns=0) > HOUR_SECONDS * SECOND_NS
+    assert sidecar.listed_age_ns(start_wall_time_ns=0) > HOUR_SECONDS * SECOND_NS
--- a/tests/sidecar/process/test_configuration_reloader.py
+++ b/tests/sidecar/process/test_configuration_reloader.py
@@ -15,7 +15,7 @@
 from tests.sidecar.scripted_endpoint import ReceivedRequest, run_endpoint, unreachable_address
 
 
-async def send_hang_ups_until_exit(process: asyncio.subprocess.Process) -> int:
+async def send_sighup_until_exit(process: asyncio.subprocess.Process) -> int:
     """Send SIGHUP in any of the steps of a shutdown, and return the exit status."""
     exiting = asyncio.ensure_future(process.wait())
     while not exiting.done():
@@ -26,7 +26,7 @@
 
 
 @async_test
-async def test_reload_is_repeated_until_the_file_can_be_read(configuration_file: ConfigurationFile) -> None:
+async def test_reload_is_retried_until_the_file_can_be_read(configuration_file: ConfigurationFile) -> None:
     async def answer_snapshot(_received: ReceivedRequest) -> bytes:
         return ok_response(json.dumps({"seq": 1, "whole": True, "hosts": []}).encode())
 
@@ -76,5 +76,5 @@
         assert new_discovery.received_requests[0].request_line == b"GET /discovery/hosts HTTP/1.1"
         process.send_signal(signal.SIGTERM)
         assert await client.is_closed()  # the shutdown has begun
-        assert await send_hang_ups_until_exit(process) == 0
+        assert await send_sighup_until_exit(process) == 0
         assert await process.stderr.read() == b""
--- a/tests/sidecar/requests/test_attempt_guard.py
+++ b/tests/sidecar/requests/test_attempt_guard.py
@@ -171,7 +171,7 @@
         AttemptOutcome.NOT_SENT,
     )
     assert (repeated.refusal() is None) == never_executed
-    assert repeated.violations(Invariant.REPEAT_ALLOWED) == (not never_executed)
+    assert repeated.violations(Invariant.RETRY_ALLOWED) == (not never_executed)
     assert repeated.may_reject() == never_executed
 
 
@@ -208,9 +208,9 @@
     repeated.complete_attempt(AttemptOutcome.TIMEOUT)
     assert repeated.refusal(now_ns=WINDOW_NS - 1) is None
     assert repeated.refusal(now_ns=WINDOW_NS) == AttemptRefusal.REPEAT_FORBIDDEN
-    assert repeated.violations(Invariant.REPEAT_ALLOWED) == 0
+    assert repeated.violations(Invariant.RETRY_ALLOWED) == 0
     assert repeated.refusal(now_ns=WINDOW_NS + MAX_EXECUTION_DELAY_NS) == AttemptRefusal.REPEAT_FORBIDDEN
-    assert repeated.violations(Invariant.REPEAT_ALLOWED) == 1
+    assert repeated.violations(Invariant.RETRY_ALLOWED) == 1
 
 
 @pytest.mark.parametrize(
@@ -222,4 +222,4 @@
     executed = situation(class_name)
     executed.complete_attempt(AttemptOutcome.SERVER_ERROR)
     assert executed.may_reject() == is_harmless
-    assert executed.violations(Invariant.REJECTION_HARMLESS) == (not is_harmless)
+    assert executed.violations(Invariant.REJECTION_SAFE) == (not is_harmless)
--- a/tests/sidecar/requests/test_dispatcher.py
+++ b/tests/sidecar/requests/test_dispatcher.py
@@ -288,7 +288,7 @@
         replace_policy(sidecar, policy)
         client = await sidecar.connect_client()
         assert (await client.exchange(request_bytes("post"))).status == 502
-        assert sidecar.dispatcher.metrics.value(Metric.VIOLATIONS, Invariant.REJECTION_HARMLESS) == 1
+        assert sidecar.dispatcher.metrics.value(Metric.VIOLATIONS, Invariant.REJECTION_SAFE) == 1
 
 
 @async_test
@@ -300,7 +300,7 @@
         client = await sidecar.connect_client()
         assert (await client.exchange(request_bytes("post"))).status == 502
         assert len(endpoint.received_requests) == 1
-        assert sidecar.dispatcher.metrics.value(Metric.VIOLATIONS, Invariant.REPEAT_ALLOWED) == 1
+        assert sidecar.dispatcher.metrics.value(Metric.VIOLATIONS, Invariant.RETRY_ALLOWED) == 1
 
 
 @async_test
@@ -339,7 +339,7 @@
         client = await sidecar.connect_client()
         raw = request_bytes("post", extra_headers=b"Idempotency-Key: 7\r\n")
         assert (await client.exchange(raw)).status == 200
-        assert sidecar.dispatcher.metrics.value(Metric.VIOLATIONS, Invariant.REPEAT_ALLOWED) == 0
+        assert sidecar.dispatcher.metrics.value(Metric.VIOLATIONS, Invariant.RETRY_ALLOWED) == 0
 
 
 @async_test
--- a/tests/sidecar/runtime/test_metrics.py
+++ b/tests/sidecar/runtime/test_metrics.py
@@ -20,7 +20,7 @@
     assert json.loads(text) == {"requests": 2, "responses": {"served": 1}}
 
 
-def test_violations_are_counted_but_logged_only_so_often(caplog: pytest.LogCaptureFixture) -> None:
+def test_all_violations_are_counted_but_only_the_first_are_logged(caplog: pytest.LogCaptureFixture) -> None:
     metrics = Metrics()
     with caplog.at_level(logging.ERROR):
         for _ in range(MAX_LOGGED_VIOLATIONS + 5):
--- a/tests/sidecar/sidecar_under_test.py
+++ b/tests/sidecar/sidecar_under_test.py
@@ -65,7 +65,7 @@
         self.listener = Listener(self.config, self.dispatcher, loop, self.timeouts)
         self.discovery = DiscoveryClient(self.config.discovery_client(), self.dispatcher, loop)
         self.dispatcher.attach_discovery(self.discovery)
-        self.dispatcher.start(self.config.known_endpoints)
+        self.dispatcher.start(self.config.cached_endpoints)
         self.server = await loop.create_server(self._accept_client, "127.0.0.1", 0)
         self.port = self.server.sockets[0].getsockname()[1]
 
--- a/tests/sidecar/test_gossip_transport.py
+++ b/tests/sidecar/test_gossip_transport.py
@@ -25,7 +25,7 @@
 @async_test
 async def test_gossip_is_sent_by_index_and_received_from_configured_sidecars_only() -> None:
     loop = asyncio.get_running_loop()
-    with udp_socket() as configured, udp_socket() as stranger:
+    with udp_socket() as configured, udp_socket() as unknown_sender:
         peers = ["127.0.0.1:9", f"127.0.0.1:{configured.getsockname()[1]}"]
         async with run_sidecar(peers=peers, peers_all=peers[1], peer_listen="127.0.0.1:1") as sidecar:
             transport, _ = await loop.create_datagram_endpoint(
@@ -38,7 +38,7 @@
             sidecar.dispatcher.execute(SendGossip(1, b"last"))
             payloads = [await loop.sock_recv(configured, 999) for _ in range(3)]
             assert payloads == [b"to one", b"to all", b"last"]
-            stranger.sendto(b"no peer", address)
+            unknown_sender.sendto(b"no peer", address)
             configured.sendto(b"a peer", address)
             event = await sidecar.wait_for_event(lambda event: isinstance(event, GossipReceived))
             assert event == GossipReceived(1, b"a peer")
--- a/tests/sidecar/upstream/harness.py
+++ b/tests/sidecar/upstream/harness.py
@@ -220,7 +220,7 @@
     """Return an upstream side that knows the endpoint at this address; by default its clock stands still."""
     config = parse_configuration(configuration(address))
     upstream = UpstreamManager(config, loop or asyncio.get_running_loop(), now_ns)
-    upstream.update_endpoints(config.known_endpoints.endpoints, is_snapshot=True)
+    upstream.update_endpoints(config.cached_endpoints.endpoints, is_snapshot=True)
     [pool] = upstream.pools.values()
     return ManagedEndpoint(config, upstream, pool)
 
--- a/tests/test_example.py
+++ b/tests/test_example.py
@@ -19,7 +19,7 @@
 
 
 def test_configuration_lists_both_account_servers() -> None:
-    addresses = [entry.address for entry in load_example().known_endpoints.endpoints]
+    addresses = [entry.address for entry in load_example().cached_endpoints.endpoints]
     assert addresses == [("127.0.0.1", 9001), ("127.0.0.1", 9002)]
     script = (EXAMPLE / "run").read_text()
     assert all(f"account_server.py {port}" in script for _, port in addresses)
