--- a/balancer/sidecar/discovery/__init__.py
+++ b/balancer/sidecar/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""Discovery: the endpoint list, and the calls that keep it up to date."""
+"""The discovery client: endpoint lists, and the calls that keep them up to date."""
--- a/balancer/sidecar/discovery/call.py
+++ b/balancer/sidecar/discovery/call.py
@@ -20,17 +20,17 @@
 from balancer.sidecar.runtime.address import Address
 
 MAX_ENDPOINT_LIST_BYTES = 4 * 1024 * 1024
-"""The longest response that is accepted; it is held in memory as a whole."""
+"""The largest response body that is accepted; the whole body is buffered in memory."""
 
 ENDPOINT_LIST_PATH = "/discovery/hosts"
-"""The path of the endpoint list at discovery."""
+"""The path at which discovery serves the endpoint list."""
 
 
 class DiscoveryCallError(DiscoveryError):
-    """A call to discovery brought no endpoint list.
+    """A call to discovery returned no usable endpoint list.
 
     Attributes:
-        address: Where discovery was called.
+        address: The address at which discovery was called.
         problem: Why the call failed.
     """
 
@@ -44,23 +44,28 @@
 
 
 class DiscoveryTimeoutError(DiscoveryCallError):
-    """The connection was open, but the response was not there in time.
+    """The connection was established, but the complete response did not arrive within the timeout.
 
-    A change that discovery had meanwhile counts as known soon after.
+    Discovery may have had a change in the meantime, which the sidecar has to know soon after.
     """
 
 
 class MalformedDiscoveryResponseError(DiscoveryCallError):
-    """A response came that cannot be read. What it said counts as known already."""
+    """A response was truncated or malformed.
+
+    It may have contained a change, which the sidecar is expected to know from then on.
+    """
 
 
 class DiscoveryCaller:
-    """Makes calls to discovery, one or more at a time, and keeps one idle connection for the next.
+    """Makes calls to discovery, one or more at a time, and keeps one idle connection for the next call.
+
+    A call is one HTTP request and its response.
 
     Args:
-        address: Where discovery is called.
-        names: The positions of the names in endpoint lists.
-        connect_timeout_seconds: How long a connection may take to come up.
+        address: The address at which discovery is called.
+        name_indices: Translates the names of zones and machine classes in endpoint lists.
+        connect_timeout_seconds: How long establishing a connection may take.
         loop: The event loop of the calls.
     """
 
@@ -79,57 +84,58 @@
 
     @property
     def address(self) -> Address:
-        """Where discovery is called."""
+        """The address at which discovery is called."""
         return self._address
 
     @property
     def idle_connection(self) -> OutboundConnection | None:
-        """The connection that is kept for the next call, if there is one."""
+        """The connection that is kept open for the next call, if there is one."""
         return self._idle_connection
 
     def change_address(self, address: Address) -> None:
-        """Make the calls that begin from now on to another address."""
+        """Use another address for the calls that begin from now on."""
         self._address = address
         self.close()
 
     def close(self) -> None:
-        """Close the idle connection. Calls under way keep their own."""
+        """Close the idle connection. Calls in progress keep their own connections."""
         if self._idle_connection is not None:
             self._idle_connection.close()
             self._idle_connection = None
 
     async def fetch_snapshot(self, timeout_seconds: float) -> EndpointListUpdate:
-        """Return the complete list. Raises DiscoveryCallError, at the latest after the timeout."""
+        """Return the complete list. Raises DiscoveryCallError if it does not arrive within the timeout."""
         return await self._call("", timeout_seconds)
 
     async def watch(
         self, version: int, long_poll_timeout_seconds: float, timeout_seconds: float
     ) -> EndpointListUpdate:
-        """Return the changes since a version; discovery may hold its answer for as long as there are none.
+        """Return the changes since a version, by a long poll.
 
-        Raises DiscoveryCallError, at the latest after the timeout.
+        Discovery may delay its response until there is a change or the timeout of the long poll is over.
+        Raises DiscoveryCallError if no complete response arrives within `timeout_seconds`.
         """
         return await self._call(
             f"?from={version}&hold_ms={long_poll_timeout_seconds * 1000:.0f}", timeout_seconds
         )
 
     async def _call(self, query: str, timeout_seconds: float) -> EndpointListUpdate:
-        """Make one call on a connection that is its own until it is over.
+        """Make one call on a connection that no other call uses at the same time.
 
-        The complete response, however slowly it comes, has to be there within the timeout.
+        The complete response has to arrive within the timeout, even if a part of it has arrived by then.
         """
         connection = self._acquire_connection()
         try:
             response = await self._request(connection, query, timeout_seconds)
-        except BaseException:  # also if the task is cancelled
+        except BaseException:  # includes CancelledError
             connection.close()
             raise
-        self.close()  # another call may have left its connection meanwhile
+        self.close()  # another call may have stored its connection in the meantime
         self._idle_connection = connection
         return self._parse(response.body)
 
     def _acquire_connection(self) -> OutboundConnection:
-        """Return the idle connection if it can be used again, else one that is yet to be established."""
+        """Return the idle connection if it is reusable, else a new one that is not established yet."""
         connection, self._idle_connection = self._idle_connection, None
         if connection is not None:
             if connection.is_reusable():
@@ -140,23 +146,27 @@
     async def _request(
         self, connection: OutboundConnection, query: str, timeout_seconds: float
     ) -> HttpResponse:
-        """Return a complete response of status 200. Raises DiscoveryCallError."""
+        """Return a complete response with status 200. Raises DiscoveryCallError."""
         try:
             async with asyncio.timeout(timeout_seconds):
                 response = await self._exchange(connection, query)
-        except OSError as error:  # TimeoutError is one, too
+        except OSError as error:  # includes TimeoutError
             error_class = DiscoveryTimeoutError if connection.is_established else DiscoveryCallError
             raise error_class(self._address, f"{type(error).__name__} {error}") from None
         if response is None:
             started = connection.response_started
             error_class = MalformedDiscoveryResponseError if started else DiscoveryCallError
-            raise error_class(self._address, "no complete response")
+            raise error_class(self._address, "the connection was lost or the response is not valid HTTP")
         if response.status != HTTPStatus.OK:
-            raise DiscoveryCallError(self._address, f"status {response.status}")
+            raise DiscoveryCallError(self._address, f"expected status 200, got {response.status}")
         return response
 
     async def _exchange(self, connection: OutboundConnection, query: str) -> HttpResponse | None:
-        """Send a request and return its response, or None if the connection broke. Raises OSError."""
+        """Send a request and return its response.
+
+        Returns None if the connection was lost or the response is unusable. Raises OSError if the connection
+        cannot be established; TimeoutError, a subclass, if that takes too long.
+        """
         host, port = self._address
         if not connection.is_established:
             async with asyncio.timeout(self.connect_timeout_seconds):
@@ -172,10 +182,12 @@
         try:
             return parse_endpoint_list(json.loads(body), self._name_indices)
         except (ValueError, RecursionError, MalformedEndpointListError) as error:
-            raise MalformedDiscoveryResponseError(self._address, f"malformed list: {error}") from error
+            raise MalformedDiscoveryResponseError(
+                self._address, f"malformed endpoint list: {error}"
+            ) from error
 
 
 def _set_result_once(future: asyncio.Future[HttpResponse | None], response: HttpResponse | None) -> None:
-    """Set the result unless the call was cancelled meanwhile."""
+    """Set the result unless the call has been cancelled."""
     if not future.done():
         future.set_result(response)
--- a/balancer/sidecar/discovery/client.py
+++ b/balancer/sidecar/discovery/client.py
@@ -1,4 +1,8 @@
-"""Keeps the endpoint list up to date by watches and snapshots, as the policy asks for them."""
+"""Keeps the endpoint list up to date by watches and snapshots.
+
+A watch is a series of long polls: discovery delays each response until the list changes or a timeout is over.
+A snapshot is the complete list.
+"""
 
 from __future__ import annotations
 
@@ -21,32 +25,32 @@
 from balancer.sidecar.runtime.address import Address
 
 FAILED_UPDATE_PAUSE_SECONDS = 0.25
-"""The pause after an update that a fault of this program kept from being applied: the next may fail, too."""
+"""The pause after an unexpected exception while an update was applied; the next update may fail as well."""
 
 log = logging.getLogger(__name__)
 
 
 @dataclass(frozen=True, slots=True)
 class DiscoveryClientConfiguration:
-    """What a discovery client is configured with."""
+    """The configuration of a discovery client."""
 
     address: Address
-    """The address of discovery at the start."""
+    """The initial address of discovery."""
     settings: Settings
-    """The settings of the instance."""
+    """The settings of the policy."""
     name_indices: NameIndices
-    """The positions of the names in endpoint lists."""
+    """Translates the names of zones and machine classes in endpoint lists."""
     seed: int
-    """The seed of the random parts of holds and pauses."""
+    """The seed of the jitter of long-poll timeouts and pauses."""
     cached_version: int
-    """The version of the endpoint list that the sidecar starts with."""
+    """The version of the cached endpoint list with which the sidecar starts."""
 
 
 class EndpointListObserver(Protocol):
-    """Is notified of the results of the calls to discovery."""
+    """Receives the results of the calls to discovery."""
 
     def on_endpoint_update(self, update: EndpointListUpdate, kind: EndpointUpdateKind, /) -> None:
-        """Apply a new endpoint list or a change of it."""
+        """Apply a new endpoint list or changes of it."""
 
     def on_discovery_failed(self) -> None:
         """Handle the failure of a call to discovery."""
@@ -56,7 +60,7 @@
     """Keeps the endpoint list up to date and notifies an observer of each change.
 
     It owns the tasks of its calls: `stop` cancels and awaits them. At most one watch and one fetch of a
-    snapshot are under way.
+    snapshot are in progress at a time.
     """
 
     def __init__(
@@ -66,26 +70,28 @@
         loop: asyncio.AbstractEventLoop,
     ) -> None:
         self.profile = select_profile(config.settings)
-        # A call whose connection came up late still has its whole hold.
+        # A call whose connection is established late still has the whole timeout of the long poll.
         connect_timeout_seconds = self.profile.grace_seconds
         self.caller = DiscoveryCaller(config.address, config.name_indices, connect_timeout_seconds, loop)
         self._observer = observer
         self._loop = loop
         self._random = Random(config.seed)
         self._version = config.cached_version
-        self._needs_snapshot = False  # of a new address, as its versions may be numbered otherwise
+        # Set after a change of address, as the new one may number its versions differently, and after an
+        # update that could not be applied.
+        self._needs_snapshot = False
         self._tasks: set[asyncio.Task[None]] = set()
         self._watch_task: asyncio.Task[None] | None = None
         self._fetch_task: asyncio.Task[None] | None = None
         self._is_stopped = False
 
     def start(self) -> None:
-        """Begin to watch, unless that is left to the policy."""
+        """Start to watch, unless the policy decides when to watch."""
         if self.profile.watches_continuously:
             self.set_watching(True)
 
     async def stop(self) -> None:
-        """Cancel and await all calls, and close the idle connection. No call begins after this."""
+        """Cancel and await all calls, and close the idle connection. No call begins afterwards."""
         self._is_stopped = True
         self._cancel_tasks()
         if self._tasks:
@@ -93,7 +99,10 @@
         self.caller.close()
 
     def change_address(self, address: Address) -> None:
-        """Call a new address from now on. The present list stays until the new address has sent its own."""
+        """Call a new address from now on.
+
+        The current endpoint list stays in use until the new address has sent a snapshot.
+        """
         if address == self.caller.address:
             return
         was_calling = _is_running(self._watch_task) or _is_running(self._fetch_task)
@@ -102,17 +111,17 @@
         self._version = 0
         self._needs_snapshot = True
         if was_calling or not self.profile.watches_continuously:
-            self.set_watching(True)  # which begins with the snapshot
+            self.set_watching(True)  # the first call of the watch fetches the snapshot
 
     def set_watching(self, enabled: bool) -> None:
-        """Begin to watch for changes, or stop doing so."""
+        """Start or stop watching for changes."""
         if not enabled:
             self._cancel_watch()
         elif not _is_running(self._watch_task) and not self._is_stopped:
             self._watch_task = self._start_task(self._watch())
 
     def fetch_snapshot(self) -> None:
-        """Fetch the complete list once, unless that is under way."""
+        """Fetch the complete list once, unless a fetch is already in progress."""
         if not _is_running(self._fetch_task) and not self._is_stopped:
             self._fetch_task = self._start_task(self._fetch())
 
@@ -136,7 +145,7 @@
             self._watch_task = None
 
     async def _watch(self) -> None:
-        """Make one call after the other until the task is cancelled or the retry policy ends it."""
+        """Make calls one after another until the task is cancelled or the retry policy ends the watch."""
         retry_policy = WatchRetryPolicy(self.profile, self._random)
         while True:
             try:
@@ -145,7 +154,7 @@
                 _log_failure(error)
                 pause_seconds = retry_policy.pause_seconds_after(error, self._needs_snapshot)
                 if pause_seconds is None:
-                    self._watch_task = None  # so that the policy can begin another at once
+                    self._watch_task = None  # lets the policy start another watch when it handles the failure
                     self._report_failure()
                     return
             except Exception as error:
@@ -173,7 +182,7 @@
     # ---- calls and their results
 
     async def _call_for_changes(self) -> EndpointListUpdate:
-        """Return the changes since the present list, or the snapshot of a new address."""
+        """Return the changes since the current version, or a snapshot if one is needed."""
         profile = self.profile
         if not self._needs_snapshot:
             long_poll_timeout_seconds = profile.long_poll_timeout_seconds * (
@@ -183,11 +192,11 @@
             return await self.caller.watch(self._version, long_poll_timeout_seconds, timeout_seconds)
         update = await self.caller.fetch_snapshot(profile.snapshot_timeout_seconds)
         if not update.is_snapshot:
-            raise DiscoveryCallError(self.caller.address, "changes came where a snapshot was asked for")
+            raise DiscoveryCallError(self.caller.address, "expected a complete endpoint list, got changes")
         return update
 
     def _deliver(self, update: EndpointListUpdate) -> bool:
-        """Notify the observer of an update. Return whether it counts as new."""
+        """Notify the observer of an update, and return whether the next call may follow without a pause."""
         is_empty = not update.is_snapshot and not update.endpoints
         is_duplicate = update.is_snapshot and update.version == self._version and not self._needs_snapshot
         self._version = update.version
--- a/balancer/sidecar/discovery/endpoint_list.py
+++ b/balancer/sidecar/discovery/endpoint_list.py
@@ -1,4 +1,4 @@
-"""Endpoint lists in the JSON form of discovery, which stored lists share, as typed entries."""
+"""Parses endpoint lists in discovery's JSON format, which the cached list in the configuration shares."""
 
 from __future__ import annotations
 
@@ -22,13 +22,16 @@
 Number = TypeVar("Number", int, float)
 
 ENDPOINT_ID_BYTES = 8
-"""The policy hashes the first 64 bits of an id: a longer one would lose its last bytes."""
+"""The length of an id. The policy hashes the first 64 bits only, so the rest of a longer id would be lost."""
 
 NO_ADDRESS = Address("", 0)
-"""The address of an endpoint that gets no new connections."""
+"""Stands for the address of a draining or removed endpoint whose entry is otherwise invalid.
+
+Such an endpoint gets no new connections.
+"""
 
 MAX_LOGGED_CHARACTERS = 200
-"""How much of the description of an invalid entry is logged: its values may have any length."""
+"""The longest description of an invalid entry in the log; the values in the entry may be of any length."""
 
 _NON_READY_HEALTH_BY_NAME = {
     "draining": EndpointHealth.DRAINING,
@@ -38,14 +41,14 @@
 
 
 class MalformedEndpointListError(InvalidFieldError, ProtocolError):
-    """An endpoint list does not have discovery's form."""
+    """An endpoint list does not have discovery's format."""
 
 
 class InvalidEndpointEntryError(MalformedEndpointListError):
     """An entry of an endpoint list is invalid.
 
     Attributes:
-        host: The host of the entry as it was decoded; None if it has none.
+        host: The decoded value of the entry's `host`, of any type; None if it is missing.
     """
 
     def __init__(self, host: object, key: str, problem: str, value: object) -> None:
@@ -58,7 +61,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DiscoveredEndpoint:
-    """An entry of an endpoint list: what the policy sees of it, and the address at which it listens."""
+    """An entry of an endpoint list: the part that the policy sees, and the address of the account server."""
 
     endpoint: Endpoint
     address: Address
@@ -75,16 +78,19 @@
 
 @dataclass(frozen=True, slots=True)
 class NameIndices:
-    """Positions of zones and machine classes in the settings, by name."""
+    """Maps the names of zones and machine classes to their indices in the settings."""
 
     zones: Mapping[str, int]
     machine_classes: Mapping[str, int]
 
 
 def parse_endpoint_list(raw: object, name_indices: NameIndices) -> EndpointListUpdate:
-    """Translate a decoded endpoint list. Invalid entries are logged and skipped.
+    """Translate a decoded endpoint list.
+
+    An invalid entry is logged and skipped, unless it says that its endpoint is draining or removed. Unknown
+    names of zones and machine classes get the index 0.
 
-    Raises MalformedEndpointListError if it is no list of endpoints or has no version.
+    Raises MalformedEndpointListError if the list has no entries field or no valid version.
     """
     if not is_object(raw):
         raise MalformedEndpointListError("list", "is not an object", raw)
@@ -93,25 +99,28 @@
         raise MalformedEndpointListError("hosts", "is not a list", entries)
     version = raw.get("seq")
     if not is_integer(version):
-        raise MalformedEndpointListError("seq", f"is {version!r}", version)
+        raise MalformedEndpointListError("seq", f"is {version!r}, not an integer", version)
     is_snapshot = raw.get("whole") is True
     return EndpointListUpdate(version, is_snapshot, tuple(_parse_entries(entries, name_indices)))
 
 
 def derive_endpoint_id(host: str) -> EndpointId:
-    """Return the id by which the policy knows a host.
+    """Return the id that the policy uses for a host.
 
-    Raises InvalidEndpointEntryError if the host is not text that can be encoded.
+    Raises InvalidEndpointEntryError if the host cannot be encoded as UTF-8.
     """
     try:
         encoded = host.encode()
     except UnicodeEncodeError as error:
-        raise InvalidEndpointEntryError(host, "host", f"cannot be encoded: {error}", host) from None
+        raise InvalidEndpointEntryError(host, "host", f"cannot be encoded as UTF-8: {error}", host) from None
     return blake2b(encoded, digest_size=ENDPOINT_ID_BYTES).digest()
 
 
 def _parse_entries(entries: list[object], name_indices: NameIndices) -> Iterator[DiscoveredEndpoint]:
-    """Parse each entry. An invalid one must not hide the others, which may say that an endpoint drains."""
+    """Parse each entry.
+
+    An invalid entry must not prevent the others from being applied: one may say that an endpoint is draining.
+    """
     for entry in entries:
         try:
             yield _parse_entry(entry, name_indices)
@@ -133,7 +142,7 @@
         raise InvalidEndpointEntryError(None, "entry", "is not an object", entry)
     host = entry.get("host")
     if not isinstance(host, str):
-        raise InvalidEndpointEntryError(host, "host", "is not a text", host)
+        raise InvalidEndpointEntryError(host, "host", "is not a string", host)
     fields = JsonObject(entry, partial(InvalidEndpointEntryError, host))
     endpoint = Endpoint(
         id=derive_endpoint_id(host),
@@ -148,9 +157,9 @@
 
 
 def _parse_draining_or_removed(entry: object) -> DiscoveredEndpoint | None:
-    """Parse an entry by its host and health alone if it says that the endpoint drains or is removed.
+    """Parse the host and the health of an invalid entry; return None unless it is draining or removed.
 
-    Whatever else is wrong with it, no new connection goes there.
+    No new connection may be opened to such an endpoint, whichever other fields of its entry are invalid.
     """
     if not is_object(entry):
         return None
@@ -161,7 +170,7 @@
     try:
         endpoint_id = derive_endpoint_id(host)
     except InvalidEndpointEntryError:
-        return None  # no endpoint can have become known under this host
+        return None  # no earlier entry with this host can have been valid
     endpoint = Endpoint(
         id=endpoint_id,
         zone=0,
@@ -179,17 +188,20 @@
 
 
 def _read_weight(fields: JsonObject) -> float:
-    """Return the registered size; JSON as Python reads it knows NaN and Infinity, which are no sizes."""
+    """Return the registered capacity.
+
+    It has to be finite, which is checked here, as Python's JSON decoder accepts NaN and Infinity.
+    """
     weight = _read_converted(fields, "share", default=1.0, convert=float)
     if not math.isfinite(weight):
-        raise fields.make_error("share", f"is {weight!r}, not finite", weight)
+        raise fields.make_error("share", f"is {weight!r}, not a finite number", weight)
     return weight
 
 
 def _read_converted(
     fields: JsonObject, key: str, default: Number, convert: Callable[[int | float | str], Number]
 ) -> Number:
-    """Return a number, which may be written as text or as another kind of number: lists are not strict."""
+    """Return a number. Endpoint lists may also have it as text, or a float where an integer is expected."""
     value = fields.get(key, default)
     if isinstance(value, int | float | str):
         with suppress(ValueError, OverflowError):
--- a/balancer/sidecar/discovery/profile.py
+++ b/balancer/sidecar/discovery/profile.py
@@ -1,9 +1,11 @@
-"""How discovery is called: the timing and the reporting of pushed and of polled endpoint lists.
+"""The timing of calls to discovery, and which results are reported, for pushed and for polled endpoint lists.
 
-A change counts as known to a sidecar 6 s after discovery could be reached, or 4 s after its address changed.
-The times below are chosen so that every way a call can end leaves time for the next one to bring the change.
-The longest time from the change to the beginning of that next call, in seconds, by how the call ends that was
-under way; the next call itself takes up to half a second:
+A sidecar has to know a change of the endpoint list at most 6 s after discovery became reachable, and at most
+4 s after the address of discovery changed. The constants below leave enough time for this: however a call
+ends, the next call can still fetch the change.
+
+The table lists the longest time from the change to the start of that next call, in seconds, by the way in
+which the call in progress ends. The next call itself takes up to 0.5 s.
 
     ======================================================  ======  ======
     end of the call                                         pushed  polled
@@ -13,12 +15,12 @@
     connection timed out                                      0.25    2.25
     error status, closed or reset                             0.50    4.75
     truncated or malformed response                           0.50    3.00
-    timeout, before or in the response                        0.50    3.00
-    malformed or timeout, and its repetition fails at once    0.50    4.75
+    timeout before or during the response                     0.50    3.00
+    malformed or timeout, and the retry fails at once         0.50    4.75
     first snapshot of a new address fails                     0.55    2.50
     ======================================================  ======  ======
 
-`tests/sidecar/discovery/test_profile.py` derives them from the constants and holds them against the 6 s.
+`tests/sidecar/discovery/test_profile.py` derives these times from the constants and compares them with 6 s.
 """
 
 from __future__ import annotations
@@ -28,34 +30,34 @@
 from balancer.policy_api import Settings
 
 FETCH_TIMEOUT_SECONDS = 1.0
-"""The timeout of a snapshot that the policy fetches: a call that fails leaves time for another."""
+"""The timeout of a snapshot that the policy requests; short enough for another call after a failure."""
 
 UNCHANGED_PAUSE_SECONDS = 0.05
-"""The pause between watches that brought nothing new; well under the 200 ms that end a watch."""
+"""The pause after a call of a watch that returned nothing new; well below the 200 ms that end a watch."""
 
 
 @dataclass(frozen=True, slots=True)
 class DiscoveryProfile:
-    """What differs between the ways that an instance gets its endpoint lists."""
+    """The parameters of the discovery client that depend on how a sidecar gets its endpoint lists."""
 
     long_poll_timeout_seconds: float
-    """How long a watch may wait for a change."""
+    """The timeout of the long poll: how long discovery may wait for a change before it responds."""
     long_poll_timeout_jitter: float
-    """The largest share by which a hold is shortened at random."""
+    """The largest share by which the timeout of a long poll is shortened at random."""
     grace_seconds: float
-    """How late a response may be before its call is given up; a connection comes up within it, too."""
+    """How long after the long poll's timeout the response may arrive; also the connect timeout."""
     snapshot_timeout_seconds: float
     """The timeout of the first snapshot of a new address."""
     first_retry_pause_seconds: float
-    """The pause after a failed call; it doubles with each further one."""
+    """The pause after the first failed call; it doubles after each further failure."""
     max_retry_pause_seconds: float
     """The longest pause after a failed call."""
     retry_jitter: float
     """The largest share by which a pause is shortened at random."""
     watches_continuously: bool
-    """Whether the client watches from its start and never stops; otherwise the policy asks for watches."""
+    """Whether the client watches from its start until it stops; otherwise the policy starts each watch."""
     reports_unchanged_lists: bool
-    """Whether the policy is notified of a response that holds nothing new: it waits for one to its call."""
+    """Whether the policy is notified of a response without changes, as it waits for a response to its call."""
 
 
 PUSHED_DISCOVERY = DiscoveryProfile(
@@ -69,31 +71,31 @@
     watches_continuously=True,
     reports_unchanged_lists=False,
 )
-"""Lists come from an agent on this machine, and calls to it cost nothing.
+"""For lists that an agent on this machine pushes: a call to it costs nothing.
 
-What the agent has counts as known also while a call to it hangs: such a call must end, and the next begin,
-within the grace period of a draining endpoint.
+The sidecar has to know what the agent knows even while a call hangs. Such a call has to end, and the next one
+has to begin, within the grace period of a draining endpoint.
 """
 
 POLLED_DISCOVERY = DiscoveryProfile(
     long_poll_timeout_seconds=2.5,
-    long_poll_timeout_jitter=0.2,  # sidecars that were answered at once no longer call in step
+    long_poll_timeout_jitter=0.2,  # a change ends all long polls together; jitter spreads the following ones
     grace_seconds=0.5,
     snapshot_timeout_seconds=1.0,  # three calls and their pauses fit in the 4 s after a change of address
     first_retry_pause_seconds=0.25,
-    max_retry_pause_seconds=1.5,  # should the new address be down
-    retry_jitter=0.5,  # one signal to all sidecars would have them call in step
+    max_retry_pause_seconds=1.5,  # applies while a new address is down
+    retry_jitter=0.5,  # without it, a signal sent to all sidecars would synchronize their calls
     watches_continuously=False,
     reports_unchanged_lists=True,
 )
-"""Lists come from a service that all sidecars share.
+"""For lists that are polled from a service that all sidecars share.
 
-A call may hang or fail at the very end of its hold and grace, after 3 s. The policy delays the next one by up
-to 1.75 s (its longest delay and one cycle), and half a second is left for its response. A call costs by the
-entries that it brings: one that brings nothing new is free.
+A call may hang or fail at the end of its long-poll timeout and grace period, after 3 s. The policy delays the
+next call by up to 1.75 s, its longest delay and one measurement cycle, and 0.5 s is left for the response. The
+cost of a call is proportional to the entries that it returns; a call that returns nothing new is free.
 """
 
 
 def select_profile(settings: Settings) -> DiscoveryProfile:
-    """Return the profile of an instance."""
+    """Return the profile for the settings of a sidecar."""
     return POLLED_DISCOVERY if settings.polls_discovery else PUSHED_DISCOVERY
--- a/balancer/sidecar/discovery/retry.py
+++ b/balancer/sidecar/discovery/retry.py
@@ -1,4 +1,4 @@
-"""When a failed call to discovery is repeated."""
+"""When a failed call to discovery is retried."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 
 
 class Backoff:
-    """Pauses that double up to a maximum, each shortened by a random share.
+    """Exponential backoff: the pauses double up to a maximum, and each is shortened by a random share.
 
     Args:
-        first_seconds: The first pause.
+        first_seconds: The first pause, before jitter.
         max_seconds: The longest pause.
-        jitter: The share by which a pause is shortened at most.
-        random: The source of the shares.
+        jitter: The largest share by which a pause is shortened.
+        random: The source of the random shares.
     """
 
     def __init__(self, first_seconds: float, max_seconds: float, jitter: float, random: Random) -> None:
@@ -29,19 +29,22 @@
         self._random = random
 
     def next_pause_seconds(self) -> float:
-        """Return the pause before the next attempt, and lengthen the one after it."""
+        """Return the pause before the next call, and double the following one up to the maximum."""
         pause_seconds = self._pause_seconds * (1 - self._jitter * self._random.random())
         self._pause_seconds = min(self._max_seconds, 2 * self._pause_seconds)
         return pause_seconds
 
 
 class WatchRetryPolicy:
-    """Decides for one run of watches whether, and after which pause, a failed call is repeated.
+    """Decides for one watch whether a failed call is retried, and after which pause.
 
-    A client that watches unasked repeats every call. So does any client until a new address has sent its
-    snapshot. Otherwise the policy starts the next call later, to spare discovery, except where a change may
-    have been missed that already counts as known: after a timeout, and after a malformed response. The latter
-    is repeated only once, as there is no pause.
+    Every failed call is retried, after a backoff, by a client that watches continuously, and by any client
+    that needs a snapshot. Otherwise there are three cases:
+
+    - A call that timed out is retried at once: it may have missed a change that the sidecar has to know.
+    - A call with a malformed response is retried at once for the same reason, but only once in a row, as
+      there is no pause.
+    - After any other failure the watch ends. The policy starts the next one later, to spare discovery.
     """
 
     def __init__(self, profile: DiscoveryProfile, random: Random) -> None:
@@ -56,11 +59,11 @@
         self._last_was_malformed = False
 
     def pause_seconds_after(self, error: DiscoveryCallError, needs_snapshot: bool) -> float | None:
-        """Return the pause before the call is repeated, 0 for none, or None if it is not to be repeated.
+        """Return the pause before the retry of a call in seconds, or None if it is not retried.
 
         Args:
             error: How the call failed.
-            needs_snapshot: Whether a new address has yet to send its snapshot.
+            needs_snapshot: Whether the client needs a snapshot, as after a change of address.
         """
         if self._always_retries or needs_snapshot:
             return self._backoff.next_pause_seconds()
--- a/balancer/sidecar/discovery/start_times.py
+++ b/balancer/sidecar/discovery/start_times.py
@@ -1,7 +1,7 @@
-"""Start times of endpoints, translated from the wall clock to the sidecar's clock, which is never stepped.
+"""Translates the start times of endpoints from the wall clock to the sidecar's clock, which is never stepped.
 
-Discovery gives the start of an endpoint as wall clock time. The wall clock may be stepped, by seconds or an
-hour, before or after that start; slow start needs the real age of an endpoint.
+Discovery gives the start time of an endpoint as wall-clock time. Slow start needs the real age of an endpoint,
+but the wall clock may be stepped, by seconds or by an hour, before or after that start.
 """
 
 from __future__ import annotations
@@ -15,30 +15,35 @@
 from balancer.time_units import MILLISECOND_NS, SECOND_NS
 
 MIN_STEP_NS = 50 * MILLISECOND_NS
-"""The smallest change of the wall clock against the sidecar's that counts as a step; two readings of one
-offset differ by less."""
+"""The smallest change of the offset between the wall clock and the sidecar's clock that counts as a step.
+
+Two measurements of the same offset differ by less.
+"""
 
 MAX_OFFSETS = 8
-"""How many offsets are remembered: a start time may have been taken by any of them."""
+"""The number of most recent offsets that are kept: a start time may have been taken at any of them."""
 
 FUTURE_START_TOLERANCE_NS = SECOND_NS
-"""A start at most this far in the future counts as one of this moment; a later one was taken by another
-offset."""
+"""A start time at most this far in the future counts as the current time.
+
+One that is further in the future was taken at another offset.
+"""
 
 
 class _TranslatedStart(NamedTuple):
-    """A start time as it was first translated, which is kept while the entry of the endpoint is the same."""
+    """The first translation of a start time, which is kept until the endpoint is listed with another one."""
 
     wall_time_ns: int
     started_at_ns: int
 
 
 class StartTimeTranslator:
-    """Translates the start times of endpoint lists as these arrive.
+    """Translates the start times in endpoint lists as these arrive.
 
-    A start time does not show by which offset of the wall clock it was taken: that before or after a step. Of
-    all offsets seen so far, the one that makes the endpoint youngest counts. An endpoint that is taken for
-    younger than it is warms up for longer; one that is taken for older gets more than it can do.
+    A start time does not show whether it was taken before or after a step of the wall clock. Of all offsets
+    that have been observed, the translator uses the one that makes the endpoint youngest. An underestimated
+    age only makes the endpoint warm up for longer, while an overestimated age gives it more load than it can
+    handle.
 
     Args:
         now_ns: The sidecar's clock, in nanoseconds.
@@ -53,7 +58,7 @@
         self.observe_wall_clock()
 
     def observe_wall_clock(self) -> None:
-        """Remember the present offset of the wall clock, unless it is one of those seen so far."""
+        """Record the current offset of the wall clock, unless it has been recorded already."""
         offset_ns = self._wall_time_ns() - self._now_ns()
         if all(abs(offset_ns - known_offset_ns) >= MIN_STEP_NS for known_offset_ns in self._offsets_ns):
             self._offsets_ns.append(offset_ns)
@@ -61,7 +66,8 @@
     def translate(self, endpoint: Endpoint) -> Endpoint:
         """Return an entry of an endpoint list with its start time by the sidecar's clock; 0 stays 0.
 
-        The start of an endpoint that is known stays as it was first translated, whatever the wall clock does.
+        While the listed start time of an endpoint stays the same, so does the translated one, even if the
+        wall clock is stepped.
         """
         if not endpoint.started_at_ns or endpoint.health == EndpointHealth.REMOVED:
             self._translated_starts.pop(endpoint.id, None)
@@ -73,7 +79,7 @@
         return endpoint._replace(started_at_ns=known.started_at_ns)
 
     def retain_only(self, endpoint_ids: set[EndpointId]) -> None:
-        """Forget the endpoints that a snapshot does not list."""
+        """Discard the start times of all endpoints but these, which a snapshot lists."""
         for endpoint_id in self._translated_starts.keys() - endpoint_ids:
             del self._translated_starts[endpoint_id]
 
--- a/tests/sidecar/discovery/scripted_discovery.py
+++ b/tests/sidecar/discovery/scripted_discovery.py
@@ -184,7 +184,9 @@
         async def watch(
             caller: DiscoveryCaller, version: int, long_poll_timeout_seconds: float, timeout_seconds: float
         ) -> EndpointListUpdate:
-            replaced_seconds = self._start_call(caller, RecordedCall(timeout_seconds, long_poll_timeout_seconds))
+            replaced_seconds = self._start_call(
+                caller, RecordedCall(timeout_seconds, long_poll_timeout_seconds)
+            )
             return await self._finish_call(
                 original_watch(caller, version, long_poll_timeout_seconds, replaced_seconds)
             )
--- a/tests/sidecar/discovery/test_call.py
+++ b/tests/sidecar/discovery/test_call.py
@@ -92,7 +92,9 @@
         host, _, port = address_text.rpartition(":")
         loop = asyncio.get_running_loop()
         caller = DiscoveryCaller(Address(host, int(port)), NameIndices({}, {}), TEST_TIMEOUT_SECONDS, loop)
-        with pytest.raises(DiscoveryCallError, match=f"call to discovery at {address_text} failed: ") as caught:
+        with pytest.raises(
+            DiscoveryCallError, match=f"call to discovery at {address_text} failed: "
+        ) as caught:
             await caller.fetch_snapshot(TEST_TIMEOUT_SECONDS)
         assert isinstance(caught.value, DiscoveryError)
         assert caught.value.address == (host, int(port))
