--- a/balancer/sidecar/__init__.py
+++ b/balancer/sidecar/__init__.py
@@ -1,1 +1,1 @@
-"""The sidecar itself: sockets, timers and processes around the policy."""
+"""The sidecar: the process, sockets and timers that connect the policy to clients and endpoints."""
--- a/balancer/sidecar/configuration.py
+++ b/balancer/sidecar/configuration.py
@@ -1,4 +1,4 @@
-"""The configuration of a sidecar: the file that PROXY_CONFIG names, checked and as typed values."""
+"""Reads and checks the configuration of a sidecar, which is a JSON file that PROXY_CONFIG names."""
 
 from __future__ import annotations
 
@@ -22,17 +22,17 @@
 from balancer.time_units import SECOND_NS
 
 DEFAULT_CONNECT_TIMEOUT_NS = SECOND_NS // 4
-"""How long a connection to an endpoint may take to come up, where the settings do not say."""
+"""How long establishing a connection to an endpoint may take, unless the settings say otherwise."""
 
 DEFAULT_IDLE_TIMEOUT_NS = 15 * SECOND_NS
-"""After how long endpoints close idle connections, where the settings do not say."""
+"""How long a connection may be idle before endpoints close it, unless the settings say otherwise."""
 
 _ENVIRONMENT_KEYS = ("name", "listen", "discovery")
-"""Keys that may be absent from the file; then PROXY_NAME, PROXY_LISTEN and PROXY_DISCOVERY are read."""
+"""Keys that may be missing from the file; PROXY_NAME, PROXY_LISTEN and PROXY_DISCOVERY then replace them."""
 
 
 class UnreadableConfigurationError(ConfigurationError):
-    """The file could not be read; whether its contents are valid is not known.
+    """The configuration file could not be read; its contents may be valid.
 
     Attributes:
         error_number: The errno of the failure; None if there is none.
@@ -45,40 +45,43 @@
 
 @dataclass(frozen=True, slots=True)
 class SidecarConfiguration:
-    """What a sidecar is configured with."""
+    """The configuration of a sidecar, checked and converted to typed values."""
 
     name: str
     """The name of the sidecar; empty if it has none."""
     listen_address: Address
-    """The address at which clients connect."""
+    """The address at which the sidecar accepts connections of clients."""
     discovery_address: Address
-    """The address of discovery at the start; a reload may change it."""
+    """The initial address of discovery; a reload may change it."""
     seed: int
     """The seed of all random choices."""
     max_downstream_connections: int
-    """Connections of clients; with those to endpoints they share the descriptors of the process."""
+    """The limit on open connections of clients.
+
+    These and the connections to endpoints share the file descriptors of the process.
+    """
     max_upstream_connections: int
-    """Connections to endpoints."""
+    """The limit on open connections to endpoints."""
     memory_limit_bytes: int
-    """The memory that the process may take."""
+    """The memory that the process may use."""
     gossip_listen_address: Address | None
-    """The address for messages of other sidecars; None if there are none."""
+    """The address at which gossip of other sidecars is received; None if there is no gossip."""
     gossip_addresses: tuple[Address, ...]
-    """The gossip addresses of all sidecars, by their index."""
+    """The gossip addresses of all sidecars, by the index of the sidecar."""
     gossip_broadcast_address: Address | None
-    """The address that reaches all other sidecars at once."""
+    """The address that reaches all other sidecars at once; None if there is none."""
     settings: Settings
     """The settings of the policy."""
     name_indices: NameIndices
-    """The positions of the names in endpoint lists."""
+    """Translates the names of zones and machine classes in endpoint lists."""
     load_reports_enabled: bool
     """Whether endpoints report their load."""
     connect_timeout_ns: int
-    """How long a connection to an endpoint may take to come up."""
+    """How long establishing a connection to an endpoint may take."""
     connection_idle_timeout_ns: int
-    """Endpoints close connections that were idle this long."""
+    """How long a connection may be idle before endpoints close it."""
     cached_endpoints: EndpointListUpdate
-    """The endpoint list as it was last stored; it may be stale."""
+    """The endpoint list that was stored in the configuration; it may be stale."""
 
     def discovery_client(self) -> DiscoveryClientConfiguration:
         """Return the part of the configuration that concerns the discovery client."""
@@ -92,10 +95,10 @@
 
 
 def load_configuration(environ: Mapping[str, str]) -> SidecarConfiguration:
-    """Read the configuration that the environment names.
+    """Read the configuration file that the environment variable PROXY_CONFIG names.
 
-    Raises ConfigurationError, which says in one plain line what is wrong; UnreadableConfigurationError where
-    the file could not be read.
+    Raises ConfigurationError, whose text is a single line; UnreadableConfigurationError, a subclass, if the
+    file could not be read.
     """
     fields = _read_file(environ)
     for key in _ENVIRONMENT_KEYS:
@@ -103,14 +106,14 @@
     try:
         return parse_configuration(fields)
     except (AttributeError, LookupError, OverflowError, TypeError, ValueError) as error:
-        # A file that is read under load must not bring the sidecar down, whatever its values are.
-        raise ConfigurationError("PROXY_CONFIG", f"makes no sense: {error}") from None
+        # A reload must not end the process of a serving sidecar, whatever values the file has.
+        raise ConfigurationError("PROXY_CONFIG", f"has an invalid value: {error}") from None
 
 
 def parse_configuration(raw: Mapping[str, object]) -> SidecarConfiguration:
-    """Check a decoded configuration file.
+    """Check and convert a decoded configuration file.
 
-    Raises ConfigurationError, or SettingsError for what is below its `settings`.
+    Raises ConfigurationError, or SettingsError, a subclass, if a field below `settings` is invalid.
     """
     top = JsonObject(raw, ConfigurationError)
     settings_fields = _read_settings_object(top)
@@ -129,7 +132,7 @@
         gossip_listen_address=_read_optional_address(top, "peer_listen"),
         gossip_addresses=_read_addresses(top, "peers"),
         gossip_broadcast_address=_read_optional_address(top, "peers_all"),
-        # The simulator's connections may carry more; HTTP/1.1 carries one request at a time.
+        # Connections of the simulator may carry several requests at a time; those of HTTP/1.1 carry one.
         settings=replace(settings, streams_per_connection=1),
         name_indices=names,
         load_reports_enabled=bool(settings.load_report_fields),
@@ -144,7 +147,7 @@
     if not path:
         raise ConfigurationError("PROXY_CONFIG", "is not set")
     try:
-        # Not by pathlib: nothing else here needs it, and it adds 0.6 MB to the memory of the process.
+        # pathlib is not used: nothing else here imports it, and it adds 0.6 MB to the memory of the process.
         with open(path, "rb") as file:
             fields = json.load(file)
     except OSError as error:
@@ -152,14 +155,14 @@
     except (ValueError, RecursionError) as error:
         raise ConfigurationError("PROXY_CONFIG", f"is not JSON: {error}", path) from None
     if not is_object(fields):
-        raise ConfigurationError("PROXY_CONFIG", "is not an object", path)
+        raise ConfigurationError("PROXY_CONFIG", "is not a JSON object", path)
     return fields
 
 
 def _read_settings_object(top: JsonObject) -> JsonObject:
     settings = top.get("settings")
     if not is_object(settings):
-        raise ConfigurationError("settings", "are missing", settings)
+        raise ConfigurationError("settings", "is missing or not a JSON object", settings)
     return JsonObject(settings, SettingsError)
 
 
@@ -201,7 +204,7 @@
 
 
 def _read_seed(top: JsonObject) -> int:
-    """Return the seed: a number, or text in base 16."""
+    """Return the seed, which is a number or text in hexadecimal."""
     seed = top.get("seed")
     try:
         if isinstance(seed, str):
@@ -210,11 +213,11 @@
             return int(seed)
     except (ValueError, OverflowError):
         pass
-    raise ConfigurationError("seed", f"is {seed!r}", seed)
+    raise ConfigurationError("seed", f"is {seed!r}, not a finite number or hexadecimal text", seed)
 
 
 def _read_resource_limits(top: JsonObject) -> ResourceLimits:
-    """Return the limits of the process; invalid ones count as absent, as the defaults are safe."""
+    """Return the limits of the process; an invalid one counts as missing, as the defaults are safe."""
     limits = top.get("limits")
     if not is_object(limits):
         limits = {}
--- a/balancer/sidecar/discovery/profile.py
+++ b/balancer/sidecar/discovery/profile.py
@@ -57,7 +57,7 @@
     watches_continuously: bool
     """Whether the client watches from its start until it stops; otherwise the policy starts each watch."""
     reports_unchanged_lists: bool
-    """Whether the policy is notified of a response without changes, as it waits for a response to its call."""
+    """Whether the policy is notified of a response without changes, which it needs as it started the call."""
 
 
 PUSHED_DISCOVERY = DiscoveryProfile(
@@ -79,9 +79,9 @@
 
 POLLED_DISCOVERY = DiscoveryProfile(
     long_poll_timeout_seconds=2.5,
-    long_poll_timeout_jitter=0.2,  # a change ends all long polls together; jitter spreads the following ones
+    long_poll_timeout_jitter=0.2,  # desynchronizes sidecars that got their responses at the same time
     grace_seconds=0.5,
-    snapshot_timeout_seconds=1.0,  # three calls and their pauses fit in the 4 s after a change of address
+    snapshot_timeout_seconds=1.0,  # three calls and their pauses fit in the 4 s after an address change
     first_retry_pause_seconds=0.25,
     max_retry_pause_seconds=1.5,  # applies while a new address is down
     retry_jitter=0.5,  # without it, a signal sent to all sidecars would synchronize their calls
@@ -91,8 +91,8 @@
 """For lists that are polled from a service that all sidecars share.
 
 A call may hang or fail at the end of its long-poll timeout and grace period, after 3 s. The policy delays the
-next call by up to 1.75 s, its longest delay and one measurement cycle, and 0.5 s is left for the response. The
-cost of a call is proportional to the entries that it returns; a call that returns nothing new is free.
+next call by up to 1.75 s, its longest delay and one measurement cycle, and 0.5 s is left for the response.
+The cost of a call depends on the number of entries that it returns; one that returns nothing new is free.
 """
 
 
--- a/balancer/sidecar/discovery/start_times.py
+++ b/balancer/sidecar/discovery/start_times.py
@@ -1,7 +1,7 @@
 """Translates the start times of endpoints from the wall clock to the sidecar's clock, which is never stepped.
 
-Discovery gives the start time of an endpoint as wall-clock time. Slow start needs the real age of an endpoint,
-but the wall clock may be stepped, by seconds or by an hour, before or after that start.
+Discovery gives the start time of an endpoint as wall-clock time. The wall clock may be stepped, by seconds or
+by an hour, before or after that start, but slow start needs the real age of an endpoint.
 """
 
 from __future__ import annotations
--- a/balancer/sidecar/gossip_transport.py
+++ b/balancer/sidecar/gossip_transport.py
@@ -1,4 +1,4 @@
-"""Gossip between sidecars: messages in UDP datagrams, which may be late, lost or repeated."""
+"""Gossip between sidecars: messages in UDP datagrams, which may be delayed, lost or duplicated."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from balancer.sidecar.runtime.address import Address
 
 MAX_GOSSIP_BYTES = 256
-"""The longest payload of a message in bytes; a longer one is dropped, sent or received."""
+"""The longest payload of a message; a longer one is neither sent nor accepted."""
 
 
 class GossipTransport(asyncio.DatagramProtocol):
@@ -25,13 +25,16 @@
         self._transport: asyncio.DatagramTransport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Attach to the dispatcher, as messages can be sent from now on."""
-        # uvloop's transports have the methods but are no subclasses of asyncio's: nothing to check by type.
+        """Attach to the dispatcher: messages can be sent from now on."""
+        # uvloop's transports are not subclasses of asyncio's, so their type can't be checked.
         self._transport = cast(asyncio.DatagramTransport, transport)
         self._dispatcher.attach_gossip(self)
 
     def send(self, recipient_index: int, payload: bytes) -> None:
-        """Send a message to the sidecar with this index, or to all of them if it is negative."""
+        """Send a message to the sidecar with this index, or to the broadcast address if it is negative.
+
+        The message is dropped if it is too long or there is no such address.
+        """
         address = self._address_of(recipient_index)
         if self._transport is not None and address is not None and len(payload) <= MAX_GOSSIP_BYTES:
             self._transport.sendto(payload, address)
@@ -44,10 +47,10 @@
         return None
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        """Pass a message of another sidecar on to the policy; anything else is dropped."""
+        """Pass a message of a configured sidecar to the policy; any other datagram is dropped."""
         sender_index = self._index_by_address.get(Address(addr[0], addr[1]))
         if sender_index is not None and len(data) <= MAX_GOSSIP_BYTES:
             self._dispatcher.dispatch(GossipReceived(sender_index, data))
 
     def error_received(self, exc: Exception) -> None:
-        """Ignore errors of the socket: a sidecar that is down causes them, and messages may be lost."""
+        """Ignore an error of the socket: a sidecar that is down causes it, and messages may be lost."""
--- a/balancer/sidecar/process/__init__.py
+++ b/balancer/sidecar/process/__init__.py
@@ -1,1 +1,1 @@
-"""The process: start, reload and graceful shutdown."""
+"""The process of a sidecar: start, reload of the configuration, signals and graceful shutdown."""
--- a/balancer/sidecar/process/configuration_reloader.py
+++ b/balancer/sidecar/process/configuration_reloader.py
@@ -12,22 +12,28 @@
 from balancer.sidecar.runtime.timers import OneShotTimer
 
 RELOAD_DELAY_SECONDS = 0.02
-"""From a SIGHUP to the reload: the signals of a burst cause one reload, and leave the loop time to serve."""
+"""The delay from a SIGHUP to the reload.
+
+A burst of signals then causes a single reload, which leaves the event loop time to serve requests.
+"""
 
 RELOAD_RETRY_SECONDS = 0.1
-"""Until a file that could not be read is tried again."""
+"""The pause before a file that could not be read is read again."""
 
 MAX_RELOAD_ATTEMPTS = 30
-"""Reads of the file in one reload, over 3 s: a new address of discovery is in force 4 s after SIGHUP."""
+"""The number of reads of the file in one reload.
+
+They take 3 s, as a new address of discovery has to be in use 4 s after the SIGHUP.
+"""
 
 log = logging.getLogger(__name__)
 
 
 class ConfigurationReloader:
-    """Reads the configuration again on request. Only the address of discovery can change in service.
+    """Reads the configuration again on request, and applies a new address of discovery.
 
-    A burst of requests causes one reload: one for each would keep the loop from everything else. A file that
-    cannot be read is tried again for a while.
+    No other value can change while the sidecar runs. A burst of requests causes a single reload: one for each
+    would keep the event loop from everything else. A file that cannot be read is read again for up to 3 s.
     """
 
     def __init__(self, discovery: DiscoveryClient, loop: asyncio.AbstractEventLoop) -> None:
@@ -36,13 +42,13 @@
         self._attempts_left = 0
 
     def request_reload(self) -> None:
-        """Reload soon; a reload that is pending gets its full number of attempts again."""
+        """Schedule a reload; one that is pending gets its full number of attempts again."""
         self._attempts_left = MAX_RELOAD_ATTEMPTS
         if not self._timer.is_running:
             self._timer.start(RELOAD_DELAY_SECONDS, self._reload)
 
     def cancel(self) -> None:
-        """Cancel a reload that is pending."""
+        """Cancel a pending reload."""
         self._timer.cancel()
 
     def _reload(self) -> None:
@@ -63,5 +69,5 @@
 
 
 def _log_failure(error: ConfigurationError) -> None:
-    """Log why the configuration in force stays as it is."""
+    """Log why the reload failed; the current configuration stays in use."""
     log.error('reload_failed error=%s detail="%s"', type(error).__name__, error)
--- a/balancer/sidecar/process/graceful_shutdown.py
+++ b/balancer/sidecar/process/graceful_shutdown.py
@@ -1,7 +1,7 @@
 """The graceful shutdown of a sidecar.
 
-Clients use the connections that they have until these close, and where sidecars restart in turn no other may
-be running: so a sidecar serves on for nearly as long as it may live.
+Clients use their open connections until these close, and during a rolling restart no other sidecar may be
+running. A sidecar therefore continues to serve until shortly before SIGKILL may arrive.
 """
 
 from __future__ import annotations
@@ -16,32 +16,42 @@
 from balancer.time_units import SECOND_NS
 
 ACCEPT_NEW_CONNECTIONS_SECONDS = 0.6
-"""After SIGTERM. Clients learn of it late: new connections come for 0.2 to 0.4 s more."""
+"""How long after SIGTERM new connections are accepted.
+
+Clients notice the shutdown late and open new connections for 0.2 to 0.4 s.
+"""
 
 KILL_DELAY_SECONDS = 0.7
-"""SIGKILL may come this much more than the longest client timeout after SIGTERM."""
+"""SIGKILL may arrive after SIGTERM by the longest client timeout plus this time."""
 
 MAX_AWAITED_CLIENT_TIMEOUT_SECONDS = 3.0
-"""Longer client timeouts count as this much."""
+"""The upper bound on the client timeout that the exit time is computed from."""
 
 EXIT_MARGIN_SECONDS = 0.1
-"""The process ends this much before SIGKILL may come."""
+"""The time between the exit of the process and the earliest SIGKILL."""
 
 DRAIN_BEFORE_EXIT_SECONDS = 1.0
-"""From this long before the end, a connection closes with its next response."""
+"""How long before the exit time draining begins: each connection then closes with its next response."""
 
 CLOSE_IDLE_BEFORE_EXIT_SECONDS = 0.6
-"""This long before the end, connections close that wait for a request."""
+"""How long before the exit time the idle connections are closed."""
 
 LAST_RESPONSES_BEFORE_EXIT_SECONDS = 0.1
-"""This long before the end, every request that is still in flight is answered."""
+"""How long before the exit time every request that is still in flight is answered."""
 
 
 class GracefulShutdown:
-    """Serves on for a while, then lets the clients go and finishes every request.
+    """Completes every request and closes all connections before the exit time.
+
+    The phases are:
+
+    1. Accept new connections, and serve all connections.
+    2. Serve the open connections.
+    3. Drain: close each connection with its next response.
+    4. Close the idle connections.
+    5. Answer the requests that are still in flight.
 
-    Its phases are: accept new connections; serve the open ones; close each with its next response; close the
-    idle ones; answer whatever is left. It ends sooner if all clients leave.
+    After the first phase, the shutdown ends as soon as all connections are closed.
     """
 
     def __init__(
@@ -58,9 +68,10 @@
         self._exit_delay_seconds = _exit_delay_seconds(config)
 
     async def run(self) -> None:
-        """Go through the phases.
+        """Run the phases of the shutdown.
 
-        Returns when all connections are closed, but not before the first phase is over, or at the exit time.
+        Returns once all connections are closed, though not before the end of the first phase, and at the
+        latest at the exit time.
         """
         exit_at_seconds = self._loop.time() + self._exit_delay_seconds
         self._dispatcher.expire_all_within(self._exit_delay_seconds - LAST_RESPONSES_BEFORE_EXIT_SECONDS)
@@ -74,9 +85,9 @@
         await self._wait_until_closed(exit_at_seconds)
 
     async def _wait_until_closed(self, until_seconds: float) -> None:
-        """Wait until all connections are closed, but no longer than until this time of the loop.
+        """Wait until all connections are closed, but not beyond this time of the event loop.
 
-        A client that never finishes sending its request, or reading its response, is not waited for.
+        A client may stall in the middle of its request, or never read its response.
         """
         seconds_left = max(0.0, until_seconds - self._loop.time())
         with contextlib.suppress(TimeoutError):
@@ -84,7 +95,7 @@
 
 
 def _exit_delay_seconds(config: SidecarConfiguration) -> float:
-    """Return how long after SIGTERM the process has to end."""
+    """Return how long after SIGTERM the exit time is."""
     longest_timeout_ns = max(request_class.client_timeout_ns for request_class in config.settings.classes)
     client_timeout_seconds = min(MAX_AWAITED_CLIENT_TIMEOUT_SECONDS, longest_timeout_ns / SECOND_NS)
     seconds = client_timeout_seconds + KILL_DELAY_SECONDS - EXIT_MARGIN_SECONDS
--- a/balancer/sidecar/process/lifecycle.py
+++ b/balancer/sidecar/process/lifecycle.py
@@ -1,4 +1,4 @@
-"""The life of one sidecar, from its start to its end."""
+"""The lifecycle of a sidecar: start, service and shutdown."""
 
 from __future__ import annotations
 
@@ -26,11 +26,11 @@
 async def run_sidecar(config: SidecarConfiguration) -> None:
     """Serve until SIGTERM or SIGINT, then shut down gracefully.
 
-    The caller has blocked the signals; they are taken once there is something to reload or to stop, and are
-    blocked again on return.
+    The caller has to block the handled signals. They are unblocked once the sidecar listens, and are blocked
+    again on return.
 
     Raises:
-        OSError: An address of the configuration could not be bound.
+        OSError: A socket could not be opened, or an address of the configuration could not be bound.
     """
     loop = asyncio.get_running_loop()
     dispatcher = Dispatcher(config, loop, Clock())
@@ -47,7 +47,7 @@
     loop.add_signal_handler(signal.SIGUSR1, _log_metrics, dispatcher.metrics, logging.WARNING)
     discovery.start()
     acceptor = _start_accepting(config, dispatcher, listener)
-    unblock_signals()  # the threads that resolve names run by now, and keep them blocked
+    unblock_signals()  # in this thread only: the threads that resolve host names have started already
     log.info("ready address=%s", config.listen_address)
     await shutdown_requested.wait()
     log.info(
@@ -59,12 +59,13 @@
     reloader.cancel()
     await discovery.stop()
     _log_metrics(dispatcher.metrics, logging.INFO)
-    # The interpreter restores the default actions of signals as it ends: one that comes then must not kill.
+    # The interpreter restores the default actions of signals when it exits. A signal that arrives then must
+    # not kill the process.
     block_signals()
 
 
 async def _open_gossip_socket(config: SidecarConfiguration, dispatcher: Dispatcher) -> None:
-    """Open the socket for messages of other sidecars, where there are any. Raises OSError."""
+    """Open the socket for gossip, if gossip is configured and enabled. Raises OSError."""
     if config.gossip_listen_address is None or not config.settings.gossip_enabled:
         return
     await asyncio.get_running_loop().create_datagram_endpoint(
@@ -73,7 +74,7 @@
 
 
 def _start_accepting(config: SidecarConfiguration, dispatcher: Dispatcher, listener: Listener) -> Acceptor:
-    """Open the listening socket and accept the clients' connections. Raises OSError."""
+    """Open the listening socket and start to accept the connections of clients. Raises OSError."""
     listening = open_listening_socket(config.listen_address)
     make_connection = partial(DownstreamConnection, listener)
     acceptor = Acceptor(listening, asyncio.get_running_loop(), make_connection, dispatcher.metrics)
--- a/balancer/sidecar/runtime/__init__.py
+++ b/balancer/sidecar/runtime/__init__.py
@@ -1,1 +1,1 @@
-"""What all parts of the process use: clock, timers, metrics, sockets, addresses and resource limits."""
+"""Shared by all parts of the sidecar: clock, timers, metrics, sockets, addresses and resource limits."""
--- a/balancer/sidecar/runtime/address.py
+++ b/balancer/sidecar/runtime/address.py
@@ -1,4 +1,4 @@
-"""Network addresses as the configuration and the endpoint lists write them."""
+"""Network addresses, in the format of the configuration and the endpoint lists."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 
 
 class Address(NamedTuple):
-    """Where a process listens. It is a tuple, as the functions of `socket` and `asyncio` take it."""
+    """An address at which a process listens; a tuple, as the functions of `socket` and `asyncio` expect."""
 
     host: str
-    """The name or number of the host, without the brackets of IPv6."""
+    """A host name or an IP address; an IPv6 address has no brackets."""
     port: int
 
     def __str__(self) -> str:
@@ -22,24 +22,24 @@
 
 
 def parse_address(value: object, key: str, make_error: FieldErrorFactory) -> Address:
-    """Parse `host:port`; an IPv6 host may stand in brackets.
+    """Parse an address of the form `host:port`; an IPv6 host may be in brackets.
 
-    Raises what `make_error` makes for the key if the value is anything else.
+    Raises the error that `make_error` returns for the key if the value has another form.
     """
     text = value if isinstance(value, str) else ""
     host, _, port_text = text.rpartition(":")
     port = _parse_port(port_text)
     if not host or port is None:
-        raise make_error(key, f"is {value!r}, not an address", value)
+        raise make_error(key, f"is {value!r}, not an address of the form host:port", value)
     return Address(host.strip("[]"), port)
 
 
 def _parse_port(text: str) -> int | None:
-    """Return the port of its decimal digits, or None if they are not one."""
+    """Return the port that a text of decimal digits denotes, or None if it is not a valid port."""
     if not (text.isascii() and text.isdigit()):
         return None
     try:
         port = int(text)
-    except ValueError:  # Python refuses to convert thousands of digits
+    except ValueError:  # Python does not convert thousands of digits
         return None
     return port if port <= MAX_PORT else None
--- a/balancer/sidecar/runtime/clock.py
+++ b/balancer/sidecar/runtime/clock.py
@@ -7,13 +7,14 @@
 
 
 class Clock:
-    """Monotonic time, anchored once to the wall clock.
+    """Monotonic time with an offset that makes it equal to the wall clock when the clock is created.
 
-    All sidecars agree on it closely enough to share hours, and it never jumps as the wall clock may. Start
-    times of endpoints are wall clock time: `StartTimeTranslator` brings them to this clock.
+    It is never stepped, as the wall clock may be. The clocks of all sidecars agree closely enough for the
+    policy, which reassigns the user levels every hour. Discovery gives the start times of endpoints in
+    wall-clock time, which `StartTimeTranslator` converts to this clock.
 
     Attributes:
-        monotonic_ns: The time that the clock follows, in nanoseconds; a test may replace it.
+        monotonic_ns: Returns monotonic time in nanoseconds; a test may replace it.
     """
 
     def __init__(self) -> None:
@@ -21,5 +22,5 @@
         self._anchor_ns = time.time_ns() - time.monotonic_ns()
 
     def now_ns(self) -> int:
-        """Return nanoseconds since the Unix epoch."""
+        """Return the current time in nanoseconds since the Unix epoch."""
         return self.monotonic_ns() + self._anchor_ns
--- a/balancer/sidecar/runtime/resource_limits.py
+++ b/balancer/sidecar/runtime/resource_limits.py
@@ -1,4 +1,4 @@
-"""The limits on descriptors and memory of the process, and how connections share the descriptors."""
+"""The limits on descriptors and memory of the process, and how connections share the file descriptors."""
 
 from __future__ import annotations
 
@@ -7,21 +7,21 @@
 from dataclasses import dataclass
 
 MAX_DESCRIPTORS = 1024
-"""The smallest limit of any deployment, so no sidecar counts on more descriptors."""
+"""The smallest descriptor limit of any deployment; no sidecar uses more."""
 
 RESERVED_DESCRIPTORS = 28
-"""Descriptors for the process itself, and for discovery, which for a moment has two connections."""
+"""Descriptors reserved for the process itself and for discovery, which briefly has two connections."""
 
 DEFAULT_MEMORY_MEBIBYTES = 64
-"""The memory limit where the configuration has none."""
+"""The memory limit unless the configuration has a valid one."""
 
 BYTES_PER_MEBIBYTE = 1024 * 1024
-"""Converts the configured limit on memory."""
+"""Converts the configured memory limit to bytes."""
 
 
 @dataclass(frozen=True, slots=True)
 class ResourceLimits:
-    """What the connections of a sidecar may take of the process's resources."""
+    """The limits on the connections and the memory of a sidecar."""
 
     max_downstream_connections: int
     max_upstream_connections: int
@@ -32,9 +32,9 @@
     """Return the limits of this process.
 
     Args:
-        max_descriptors: The configured number of descriptors. An invalid one counts as absent, as the
-            defaults are safe; the limit of the process holds as well.
-        memory_mebibytes: The configured memory limit. An invalid one counts as absent.
+        max_descriptors: The configured number of descriptors. An invalid value counts as missing, as the
+            default is safe. The limit of the operating system for the process applies as well.
+        memory_mebibytes: The configured memory limit. An invalid value counts as missing.
     """
     descriptors = _max_descriptors(max_descriptors)
     max_downstream_connections = _max_downstream_connections(descriptors)
@@ -64,8 +64,8 @@
 def _max_downstream_connections(descriptors: int) -> int:
     """Return how many connections of clients may be open.
 
-    Those with a request under way take a third of the descriptors; the rest of this share is for those that
-    are idle or silent.
+    Those with a request in progress take a third of all descriptors. The rest of the 3/8 is for connections
+    that are idle or stalled.
     """
     return max(1, descriptors * 3 // 8)
 
@@ -73,8 +73,9 @@
 def _max_upstream_connections(descriptors: int, max_downstream_connections: int) -> int:
     """Return how many connections to endpoints may be open.
 
-    They get the most, as one that has to make room soon costs a handshake. What is left over is for the
-    reserve, for gossip, and for connections that are just closing or refused.
+    They get most of the descriptors, as each connection that is closed to free one soon costs another
+    handshake. The remaining descriptors are reserved for the process, discovery and gossip, and for
+    connections that are being closed or refused.
     """
     closing_connections = descriptors // 32
     return max(1, descriptors - max_downstream_connections - RESERVED_DESCRIPTORS - closing_connections)
--- a/balancer/sidecar/runtime/timers.py
+++ b/balancer/sidecar/runtime/timers.py
@@ -17,17 +17,17 @@
 
     @property
     def is_running(self) -> bool:
-        """Whether the callback is still to come."""
+        """Whether the timer has been started and has neither fired nor been cancelled."""
         return self._handle is not None
 
     def start(self, delay_seconds: float, callback: Callable[[], None]) -> None:
-        """Call back once after this delay; a callback that is still to come is cancelled."""
+        """Call back once after this delay; a pending callback is cancelled."""
         if self._handle is not None:
             self._handle.cancel()
         self._handle = self._loop.call_later(delay_seconds, self._fire, callback)
 
     def cancel(self) -> None:
-        """Cancel the callback, if one is still to come."""
+        """Cancel the pending callback, if there is one."""
         if self._handle is not None:
             self._handle.cancel()
             self._handle = None
--- a/tests/sidecar/discovery/test_endpoint_list.py
+++ b/tests/sidecar/discovery/test_endpoint_list.py
@@ -1,4 +1,4 @@
-"""Endpoint lists in discovery's JSON form: stored by older versions, malformed, and with invalid entries."""
+"""Tests of parsing endpoint lists: stored by an older version, malformed, and with invalid entries."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
      "health": "removed", "share": 1, "born_ms": 7}
   ]
 }"""
-"""As the configuration of an older version held it; the third entry has unknown names."""
+"""An endpoint list in the configuration of an older version; the third entry has unknown names."""
 
 NAMES = NameIndices(
     zones={"bangna": 0, "ladprao": 1},
@@ -111,18 +111,18 @@
     ("invalid_entry", "message"),
     [
         (7, "entry is not an object"),
-        ({}, "host is not a text"),
-        (host_entry(host=3), "host is not a text"),
+        ({}, "host is not a string"),
+        (host_entry(host=3), "host is not a string"),
         (host_entry(host="\ud800"), "host cannot be encoded"),
         (host_entry(health="odd"), "host 's-1': health is 'odd'"),
         (host_entry(health=[]), "host 's-1': health is []"),
-        (host_entry(dial="nowhere"), "host 's-1': dial is 'nowhere', not an address"),
-        (host_entry(dial="h:65536"), "dial is 'h:65536', not an address"),
+        (host_entry(dial="nowhere"), "host 's-1': dial is 'nowhere', not an address of the form host:port"),
+        (host_entry(dial="h:65536"), "dial is 'h:65536', not an address of the form host:port"),
         (host_entry(dial="h:" + "9" * 5000), "dial is 'h:999"),
-        (host_entry(dial=None), "dial is None, not an address"),
+        (host_entry(dial=None), "dial is None, not an address of the form host:port"),
         (host_entry(block="x"), "block is 'x', not a number"),
         (host_entry(block=None), "block is None, not a number"),
-        (host_entry(share=float("nan")), "share is nan, not finite"),
+        (host_entry(share=float("nan")), "share is nan, not a finite number"),
         (host_entry(share=10**400), "share is 1000"),
         (host_entry(born_ms=float("inf")), "born_ms is inf, not a number"),
     ],
--- a/tests/sidecar/test_configuration.py
+++ b/tests/sidecar/test_configuration.py
@@ -1,4 +1,4 @@
-"""The configuration of a sidecar: the fields of its errors, unexpected errors, environment variables."""
+"""Tests of the configuration of a sidecar: fields of its errors, unexpected errors, environment variables."""
 
 from __future__ import annotations
 
@@ -43,15 +43,15 @@
 def test_unexpected_error_becomes_a_configuration_error(
     error_type: type[Exception], tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A file that is reloaded while the sidecar serves must not end its process."""
+    """A reload must not end the process: an error that the parser does not expect is converted, too."""
 
     def fail(_fields: object) -> None:
-        raise error_type("unforeseen")
+        raise error_type("unexpected")
 
     monkeypatch.setattr(configuration_module, "parse_configuration", fail)
     path = tmp_path / "config.json"
     path.write_text(json.dumps(configuration()))
-    with pytest.raises(ConfigurationError, match=r"PROXY_CONFIG makes no sense: .*unforeseen"):
+    with pytest.raises(ConfigurationError, match=r"PROXY_CONFIG has an invalid value: .*unexpected"):
         load_configuration({"PROXY_CONFIG": str(path)})
 
 
--- a/tests/sidecar/test_configuration_over_sockets.py
+++ b/tests/sidecar/test_configuration_over_sockets.py
@@ -1,4 +1,4 @@
-"""Tests of what the configuration of a sidecar with real sockets comes to."""
+"""Tests of a setting that only the simulator may use, in the configuration of a sidecar with real sockets."""
 
 from __future__ import annotations
 
@@ -8,6 +8,7 @@
 
 
 def test_connection_carries_one_request_at_a_time_whatever_the_settings_say() -> None:
+    """With more requests at a time, the policy would plan attempts that HTTP/1.1 connections cannot carry."""
     settings = SETTINGS | {"Limits": {"StreamsPerConn": 100}}
     config = parse_configuration(configuration(unreachable_address(), settings=settings))
     assert config.settings.streams_per_connection == 1
--- a/tests/sidecar/test_gossip_transport.py
+++ b/tests/sidecar/test_gossip_transport.py
@@ -15,7 +15,7 @@
 
 @contextlib.contextmanager
 def udp_socket() -> Iterator[socket.socket]:
-    """A socket with a port of its own, which does not block."""
+    """Open a non-blocking UDP socket on a free port of 127.0.0.1."""
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as bound:
         bound.bind(("127.0.0.1", 0))
         bound.setblocking(False)
