--- a/tests/sidecar/discovery/scripted_discovery.py
+++ b/tests/sidecar/discovery/scripted_discovery.py
@@ -1,4 +1,4 @@
-"""A discovery server whose answers a test scripts, and a record of the calls that a sidecar makes to it."""
+"""A discovery server whose responses a test scripts, and a recorder of the calls of a sidecar to it."""
 
 from __future__ import annotations
 
@@ -21,9 +21,9 @@
 from tests.sidecar.messages import ok_response
 
 ResponseScript: TypeAlias = Callable[[asyncio.StreamWriter], Awaitable[None]]
-"""Answers one call in its own way."""
+"""Responds to one call, or fails to do so, on the connection of the call."""
 
-SHORT_TIMEOUT_SECONDS = 0.05  # replaces the timeout that a test is about; no other timeout may end its calls
+SHORT_TIMEOUT_SECONDS = 0.05  # replaces the timeout that a test checks; no other timeout may end its calls
 
 DRAINING_UPDATE = json.dumps(
     {"seq": 2, "whole": False, "hosts": [endpoint_entry("s-0", "127.0.0.1:9", "draining")]}, indent=2
@@ -34,12 +34,12 @@
 
 
 def discovery_settings(polled: bool) -> dict[str, Any]:
-    """Return the settings of a sidecar whose endpoint list is polled, or pushed."""
+    """Return the settings of a sidecar whose endpoint lists are polled or pushed."""
     return SETTINGS | {"Discovery": "on_request" if polled else "pushed"}
 
 
 def is_update_of(kind: EndpointUpdateKind) -> Callable[[Event], bool]:
-    """Return a condition on events: that one is an endpoint update of this kind."""
+    """Return a predicate that holds for an endpoint update of this kind."""
     return lambda event: isinstance(event, EndpointUpdate) and event.kind == kind
 
 
@@ -50,12 +50,14 @@
 
 
 class ScriptedDiscovery:
-    """Answers the first call on its first connection with no changes, and the second by a script.
+    """A discovery server that handles one call by a script.
 
-    Every other call is answered with a drain. Nothing listens on its address before `listen`.
+    On the first connection, the response to the first call has no changes, and the script handles the second
+    call. The response to any other call reports that an endpoint is draining. Nothing listens on its address
+    before `listen`.
 
     Args:
-        script: Answers the second call; without one, the first call is answered with the drain.
+        script: Handles the second call. If it is None, the response to the first call reports the draining.
     """
 
     def __init__(self, script: ResponseScript | None) -> None:
@@ -125,9 +127,10 @@
 async def unreachable(
     discovery: ScriptedDiscovery, connect_hangs: bool
 ) -> AsyncIterator[Callable[[], Awaitable[None]]]:
-    """Keep discovery out of reach until the function that is yielded is awaited.
+    """Make discovery unreachable until the function that is yielded is awaited.
 
-    Connects are refused, or hang as the only place in the backlog is taken and nothing is accepted.
+    Connection attempts are refused. With `connect_hangs`, they hang: nothing is accepted, and another client
+    takes the only place in the backlog.
     """
     with socket.socket() as queued_client:
         if connect_hangs:
@@ -148,18 +151,18 @@
 
     timeout_seconds: float
     long_poll_timeout_seconds: float | None
-    """None where the call fetches a snapshot."""
+    """The timeout of the long poll; None if the call fetches a snapshot."""
 
 
 class CallRecorder:
     """Records the calls of a sidecar, and replaces their timeouts.
 
-    No call ends by its timeout, but the one that the test gives a short one.
+    All timeouts are too long to be reached in a test, except the short ones that it requests.
 
     Args:
-        monkeypatch: Undoes the replacement.
-        short_call: The index of the call with the short timeout.
-        short_connect: Whether connects have the short timeout until the first call has failed.
+        monkeypatch: Undoes the replacement after the test.
+        short_call: The index of the call that gets a short timeout; None for no call.
+        short_connect: Whether the connect timeout is short until the first call has failed.
     """
 
     def __init__(
@@ -195,7 +198,7 @@
         monkeypatch.setattr(DiscoveryCaller, "watch", watch)
 
     def _start_call(self, caller: DiscoveryCaller, call: RecordedCall) -> float:
-        """Record a call and return the timeout that it gets."""
+        """Record a call, set the connect timeout, and return the timeout of the call."""
         is_short = len(self.calls) == self._short_call
         self.calls.append(call)
         self.call_started.set()
--- a/tests/sidecar/discovery/test_call.py
+++ b/tests/sidecar/discovery/test_call.py
@@ -1,4 +1,4 @@
-"""Single calls to discovery: their connections and their errors."""
+"""Tests of single calls to discovery: their connections and errors."""
 
 from __future__ import annotations
 
@@ -30,9 +30,9 @@
 
 
 class SnapshotServer:
-    """A discovery server that holds the first watch back and answers requests for snapshots at once.
+    """A discovery server that responds to snapshot calls at once, and to the first watch when it is released.
 
-    Later watches stay without an answer.
+    It never responds to later watches.
     """
 
     def __init__(self) -> None:
@@ -59,7 +59,7 @@
 
 
 def test_snapshot_is_fetched_beside_an_open_watch(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Each call has a connection of its own: on that of the watch, the snapshot would end the watch."""
+    """Each call has its own connection: a snapshot call on the watch's connection would end the watch."""
     recorder = CallRecorder(monkeypatch)
 
     async def test() -> None:
--- a/tests/sidecar/discovery/test_client.py
+++ b/tests/sidecar/discovery/test_client.py
@@ -1,4 +1,4 @@
-"""The discovery client on loopback sockets: each way a call can end, new addresses, and its tasks."""
+"""Tests of the discovery client over loopback sockets: outcomes of calls, new addresses, and its tasks."""
 
 from __future__ import annotations
 
@@ -50,7 +50,7 @@
 
 
 def start_watching(sidecar: Sidecar, polled: bool) -> None:
-    """Start to watch, as the program does at its start or as the policy does where it polls."""
+    """Start to watch as the policy does where lists are polled, else as the program does at its start."""
     if polled:
         sidecar.discovery.set_watching(True)
     else:
@@ -59,7 +59,7 @@
 
 @pushed_and_polled
 def test_connect_timeout_is_at_most_the_grace_period(polled: bool) -> None:
-    """So a call whose connection is established late still has its whole hold."""
+    """A call whose connection is established late then still has the whole timeout of the long poll."""
 
     async def test() -> None:
         async with run_sidecar(settings=discovery_settings(polled)) as sidecar:
@@ -69,17 +69,17 @@
     run(test())
 
 
-# ---- the ways that a call can end
+# ---- outcomes of a call
 
 
 @dataclass(frozen=True, slots=True)
 class CallOutcome:
-    """How a call ends."""
+    """How a call ends, and what causes this."""
 
     script: ResponseScript | None
-    """Answers the call; None where discovery cannot be reached."""
+    """Handles the call; None if discovery is unreachable."""
     error_type: type[DiscoveryCallError] | None
-    """The error of the call; None where it succeeds."""
+    """The error of the call; None if it succeeds."""
     connect_hangs: bool = False
 
 
@@ -146,8 +146,8 @@
                 await sidecar.wait_for_event(is_draining_update)
                 reported_failures = sidecar.events.count(DISCOVERY_FAILED)
         assert recorder.error_types == ([outcome.error_type] if outcome.error_type else [])
-        # A failed call is reported once, and the policy starts the next one. The policy does not see a call
-        # that may have brought a change: the client repeats it.
+        # Where lists are polled, a failed call is reported once, and the policy starts the next watch. A call
+        # that may have missed a change is not reported, as the client retries it.
         assert reported_failures == (polled and outcome.error_type is DiscoveryCallError)
         discovery.close()
         request_lines.extend(discovery.request_lines)
@@ -204,7 +204,7 @@
                 start_watching(sidecar, polled)
                 hanging_call = 1 if connect_hangs else 2
                 await wait_until_signalled(lambda: len(recorder.calls) >= hanging_call, recorder.call_started)
-                await run_ready_callbacks()  # so that the call is under way
+                await run_ready_callbacks()  # the call starts
                 sidecar.discovery.change_address(new_discovery.address)
                 await wait_until_signalled(
                     lambda: bool(new_discovery.request_lines), new_discovery.request_received
@@ -217,7 +217,7 @@
 
 
 def test_unreachable_new_address_is_called_with_growing_pauses(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The pauses have jitter, as many sidecars may get the new address at once."""
+    """The pauses have jitter, as many sidecars may get the new address at the same time."""
     pauses: list[float] = []
     enough_pauses = asyncio.Event()
     original_sleep = asyncio.sleep
@@ -307,26 +307,26 @@
 
 
 class FailingOnceObserver:
-    """An observer that cannot apply the first update and passes on everything after it."""
+    """An observer that fails to apply the first update, and forwards all later calls to another observer."""
 
     def __init__(self, observer: EndpointListObserver) -> None:
         self._observer = observer
-        self._failures = [RuntimeError("cannot apply it")]
+        self._failures = [RuntimeError("the update cannot be applied")]
 
     def on_endpoint_update(self, update: EndpointListUpdate, kind: EndpointUpdateKind) -> None:
-        """Fail, or pass the update on."""
+        """Fail for the first update, and forward the others."""
         if self._failures:
             raise self._failures.pop()
         self._observer.on_endpoint_update(update, kind)
 
     def on_discovery_failed(self) -> None:
-        """Pass the failure on."""
+        """Forward the failure."""
         self._observer.on_discovery_failed()
 
 
 @pushed_and_polled
 def test_update_that_could_not_be_applied_is_fetched_again(polled: bool) -> None:
-    """Otherwise the watch would have ended for ever, with the change that it brought."""
+    """An exception of the observer must not end the watch: the change in the update would be lost."""
     snapshot = json.dumps(
         {"seq": 2, "whole": True, "hosts": [endpoint_entry("s-0", "127.0.0.1:9", "draining")]}
     ).encode()
--- a/tests/sidecar/discovery/test_discovery_over_sockets.py
+++ b/tests/sidecar/discovery/test_discovery_over_sockets.py
@@ -1,4 +1,4 @@
-"""Tests of discovery over loopback sockets: calls that fail, new addresses, lists that are asked for."""
+"""Tests of discovery over loopback sockets: failed calls, new addresses, and polled endpoint lists."""
 
 from __future__ import annotations
 
@@ -28,11 +28,11 @@
 
 UNUSED_ADDRESS = "127.0.0.1:9"
 POLLED_SETTINGS = change_classes(Discovery="on_request")
-"""The settings with which endpoint lists are asked for, not pushed."""
+"""The settings of a sidecar whose endpoint lists are polled, not pushed."""
 
 
 def is_endpoint_update(kind: EndpointUpdateKind) -> Callable[[Event], bool]:
-    """Return whether an event is an endpoint update of this kind."""
+    """Return a predicate that holds for an endpoint update of this kind."""
     return lambda event: isinstance(event, EndpointUpdate) and event.kind == kind
 
 
@@ -41,7 +41,10 @@
 
 
 def respond_in_turn(*responses: bytes | None) -> tuple[Script, list[bytes]]:
-    """Return the script of a discovery that gives these responses, then none, and the paths of its calls."""
+    """Return a script that sends these responses in turn and then none, and the list of the paths called.
+
+    For a response that is None, the script closes the connection.
+    """
     paths: list[bytes] = []
 
     async def script(request: ReceivedRequest) -> bytes | None:
@@ -53,13 +56,13 @@
     return script, paths
 
 
-def list_response(sequence: int, *entries: dict[str, Any], is_snapshot: bool = True) -> bytes:
-    """Return a response with an endpoint list."""
-    return ok_response(json.dumps(endpoint_list(sequence, *entries, is_snapshot=is_snapshot)).encode())
+def list_response(version: int, *entries: dict[str, Any], is_snapshot: bool = True) -> bytes:
+    """Return a response with a snapshot of the endpoint list, or with changes."""
+    return ok_response(json.dumps(endpoint_list(version, *entries, is_snapshot=is_snapshot)).encode())
 
 
 def tolerate_late_responses(sidecar: Sidecar) -> None:
-    """Let no response of discovery count as late, however slow the machine is."""
+    """Extend the timeouts of the discovery client, so that no call times out on a slow machine."""
     sidecar.discovery.profile = replace(sidecar.discovery.profile, grace_seconds=TEST_TIMEOUT_SECONDS)
     sidecar.discovery.caller.connect_timeout_seconds = TEST_TIMEOUT_SECONDS
 
@@ -72,8 +75,8 @@
 
 @async_test
 async def test_watch_continues_from_last_version_after_any_failure() -> None:
-    added = endpoint_entry("s-1", UNUSED_ADDRESS)
-    drained = endpoint_entry("s-1", UNUSED_ADDRESS, "draining")
+    ready = endpoint_entry("s-1", UNUSED_ADDRESS)
+    draining = endpoint_entry("s-1", UNUSED_ADDRESS, "draining")
     script, paths = respond_in_turn(
         None,
         status_response(503),
@@ -82,8 +85,8 @@
         ok_response(b'{"seq":1,"hosts":[7]}'),
         list_response(2, endpoint_entry("s-1", UNUSED_ADDRESS) | {"share": math.inf}, is_snapshot=False),
         list_response(1, is_snapshot=False),
-        list_response(2, added, is_snapshot=False),
-        list_response(3, drained, is_snapshot=False),
+        list_response(2, ready, is_snapshot=False),
+        list_response(3, draining, is_snapshot=False),
         list_response(4, endpoint_entry("s-2", UNUSED_ADDRESS)),
     )
 
@@ -100,13 +103,13 @@
         assert [update.endpoints[0].health for update in updates] == [1, 1, 2, 1]
         await wait_until(lambda: len(paths) >= 11)
         assert [path.split(b"&")[0] for path in paths[:11]] == [
-            b"/discovery/hosts?from=%d" % sequence for sequence in (1, 1, 1, 1, 1, 1, 2, 1, 2, 3, 4)
+            b"/discovery/hosts?from=%d" % version for version in (1, 1, 1, 1, 1, 1, 2, 1, 2, 3, 4)
         ]
 
 
 @async_test
 async def test_hung_watch_times_out_and_next_one_brings_list() -> None:
-    """A watch that hangs would otherwise leave the sidecar with the list that it has."""
+    """Without the timeout, a watch that hangs would leave the sidecar with an outdated list."""
     calls: list[ReceivedRequest] = []
 
     async def script(received: ReceivedRequest) -> bytes:
@@ -127,7 +130,10 @@
 
 @async_test
 async def test_snapshot_is_requested_from_new_discovery_address_at_once() -> None:
-    """Its sequence may start anew: a list with the number that the former had must not be skipped."""
+    """The new address may number its versions differently.
+
+    A list with the same version as the last list of the old address must not be skipped.
+    """
     old_script, _ = respond_in_turn(list_response(7, endpoint_entry("s-1", UNUSED_ADDRESS)))
     new_script, paths = respond_in_turn(
         None, ok_response(b"no JSON"), list_response(7, endpoint_entry("s-2", UNUSED_ADDRESS))
@@ -146,7 +152,7 @@
         await sidecar.wait_for_event(
             lambda event: is_snapshot_update(event) and event.endpoints[0].id == derive_endpoint_id("s-2")
         )
-        await old_discovery.received_requests[1].connection_closed.wait()  # the former watch has ended
+        await old_discovery.received_requests[1].connection_closed.wait()  # the old watch has ended
         await wait_until(lambda: len(paths) >= 4)
         assert paths[:3] == [b"/discovery/hosts"] * 3
         assert paths[3].startswith(b"/discovery/hosts?from=7&")
@@ -173,29 +179,31 @@
 def test_malformed_entry_hides_no_other_entry() -> None:
     names = NameIndices({}, {})
     valid = endpoint_entry("s-1", UNUSED_ADDRESS)
-    drained = endpoint_entry("s-2", "nowhere", "draining")
+    draining = endpoint_entry("s-2", "nowhere", "draining")
     malformed = [7, {}, endpoint_entry("s-3", "nowhere"), valid | {"share": math.inf}, valid | {"health": []}]
-    document = {"seq": 1, "whole": True, "hosts": [*malformed, drained, valid]}
+    document = {"seq": 1, "whole": True, "hosts": [*malformed, draining, valid]}
     update = parse_endpoint_list(document, names)
     assert [(listed.endpoint.id, listed.endpoint.health) for listed in update.endpoints] == [
-        # That it drains is plain, whatever its address is.
+        # An entry for a draining endpoint is applied even though its address is invalid.
         (derive_endpoint_id("s-2"), EndpointHealth.DRAINING),
         (derive_endpoint_id("s-1"), EndpointHealth.READY),
     ]
 
 
-INCOMPLETE_RESPONSES = [
-    None,  # no response at all
+UNUSABLE_RESPONSES = [
+    None,  # no response within the timeout
     ok_response(b'{"seq":2,"whole":false,"hosts":[{"host":"s-0","hea'),
     b"HTTP/1.1 200 OK\r\nContent-Length: 400\r\n\r\n" + b'{"seq":2,"whole":false,"hosts":[',
     b"HTTP/1.1 200 OK\r\nContent-Length: x\r\n\r\n",
 ]
 
 
-@pytest.mark.parametrize("first", INCOMPLETE_RESPONSES, ids=["silent", "malformed", "cut", "junk"])
+@pytest.mark.parametrize(
+    "first", UNUSABLE_RESPONSES, ids=["no response", "invalid JSON", "truncated", "invalid HTTP"]
+)
 @async_test
 async def test_watch_that_may_have_missed_update_is_retried_at_once(first: bytes | None) -> None:
-    """Left to the policy, the next call could be seconds late, and a draining endpoint get requests."""
+    """If the policy started the next call, it could be seconds late, and a draining endpoint get requests."""
     paths: list[bytes] = []
     on_first_call: list[Callable[[], None]] = []
 
@@ -218,7 +226,7 @@
         long_profile = replace(short_profile, long_poll_timeout_seconds=TEST_TIMEOUT_SECONDS)
         sidecar.discovery.profile = short_profile
         sidecar.discovery.caller.connect_timeout_seconds = TEST_TIMEOUT_SECONDS
-        # Later calls may be slow.
+        # Only the first call may time out, as later ones may be slow.
         on_first_call.append(lambda: setattr(sidecar.discovery, "profile", long_profile))
         sidecar.discovery.set_watching(True)
         update = await sidecar.wait_for_event(is_endpoint_update(EndpointUpdateKind.DELTA))
@@ -228,7 +236,7 @@
 
 
 @pytest.mark.parametrize(
-    "response", [None, b"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n", INCOMPLETE_RESPONSES[1]]
+    "response", [None, b"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n", UNUSABLE_RESPONSES[1]]
 )
 @async_test
 async def test_watch_that_fails_again_is_retried_by_policy(response: bytes | None) -> None:
@@ -242,14 +250,14 @@
         tolerate_late_responses(sidecar)
         sidecar.discovery.set_watching(True)
         await sidecar.wait_for_event(is_discovery_failure)
-        assert len(endpoint.received_requests) == (2 if response == INCOMPLETE_RESPONSES[1] else 1)
+        assert len(endpoint.received_requests) == (2 if response == UNUSABLE_RESPONSES[1] else 1)
 
 
 @async_test
 async def test_new_discovery_address_is_called_until_it_responds() -> None:
-    """Left to the policy after a failure, the list would come later than it counts as up to date."""
+    """If the policy started the next call after a failure, the list would be out of date for too long."""
     old_address_called = asyncio.Event()
-    failures = [None, INCOMPLETE_RESPONSES[1], status_response(503)]
+    failures = [None, UNUSABLE_RESPONSES[1], status_response(503)]
 
     async def never_respond(received: ReceivedRequest) -> bytes:
         old_address_called.set()
--- a/tests/sidecar/discovery/test_profile.py
+++ b/tests/sidecar/discovery/test_profile.py
@@ -1,4 +1,4 @@
-"""The timing of calls to discovery: each way a call can end leaves time for the next to bring a change."""
+"""Tests of the timing of calls to discovery: however a call ends, the next one fetches a change in time."""
 
 from __future__ import annotations
 
@@ -15,16 +15,16 @@
 from tests.policy.harness import BalancerHarness
 from tests.sidecar.discovery.scripted_discovery import DISCOVERY_FAILED
 
-MAX_UPDATE_DELAY_SECONDS = 6.0  # since discovery can be reached; then a change counts as known
+MAX_UPDATE_DELAY_SECONDS = 6.0  # from when discovery is reachable to when the sidecar has to know a change
 MAX_UPDATE_DELAY_AFTER_ADDRESS_CHANGE_SECONDS = 4.0
 MARGIN_SECONDS = 0.5
-MAX_SUCCESSFUL_CALL_SECONDS = 0.5  # its connection, its answer, and the lateness of the event loop
+MAX_SUCCESSFUL_CALL_SECONDS = 0.5  # includes connecting, the response, and delays of the event loop
 
 
 def longest_delays_seconds(polled: bool, poll_window_ns: int) -> dict[str, float]:
-    """Return the longest time from when discovery can be reached to when a change is received, by ending.
+    """Return the longest time from when discovery is reachable to when a change is received, by outcome.
 
-    At worst the call with this ending began just before, and the one that follows succeeds.
+    In the worst case, the call with this outcome started just before, and the next call succeeds.
     """
     policy = Balancer(policy_settings(polls_discovery=polled, discovery_poll_window_ns=poll_window_ns), 1)
     if polled:
--- a/tests/sidecar/discovery/test_retry.py
+++ b/tests/sidecar/discovery/test_retry.py
@@ -1,4 +1,4 @@
-"""When a failed call to discovery is repeated: the backoff, and the retry policy of a watch."""
+"""Tests of retries of failed calls to discovery: the backoff, and the retry policy of a watch."""
 
 from __future__ import annotations
 
--- a/tests/sidecar/discovery/test_wall_clock_steps.py
+++ b/tests/sidecar/discovery/test_wall_clock_steps.py
@@ -1,4 +1,7 @@
-"""Slow start while the wall clock is stepped: `born_ms` is wall clock time, ages are real time."""
+"""Tests of the ages of endpoints, which slow start uses, while the wall clock is stepped.
+
+Endpoint lists have start times in wall-clock time (`born_ms`), but the ages have to be real time.
+"""
 
 from __future__ import annotations
 
@@ -19,14 +22,14 @@
 
 HOUR_SECONDS = 3600
 MAX_ERROR_NS = SECOND_NS // 2
-"""Of an age where the clocks run; the tests themselves take a few milliseconds."""
+"""The largest error of an age in tests with running clocks; a test takes a few milliseconds."""
 WALL_TIME_NS = 1_790_000_000 * SECOND_NS
-"""What the wall clock shows before it is stepped; whole milliseconds, as endpoint lists give start times."""
+"""The wall-clock time before a step, in whole milliseconds, as start times have this resolution."""
 MONOTONIC_TIME_NS = 77 * SECOND_NS
 
 
 class RecordingPolicy:
-    """A policy that decides nothing and records the ages of the endpoints in its events."""
+    """A policy that returns no actions and records the ages of the endpoints in endpoint updates."""
 
     def __init__(self) -> None:
         self.ages_ns: list[int] = []
@@ -39,7 +42,7 @@
 
 
 class SteppedWallClock:
-    """Replaces `time.time_ns` by a clock that only steps, and `time.monotonic_ns` by one that is stopped."""
+    """Replaces `time.time_ns` by a clock that changes only by steps, and stops `time.monotonic_ns`."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self._offset_ns = 0
@@ -47,16 +50,16 @@
         monkeypatch.setattr(time, "monotonic_ns", lambda: MONOTONIC_TIME_NS)
 
     def time_ns(self) -> int:
-        """Return the stepped time."""
+        """Return the wall-clock time, with all steps so far."""
         return WALL_TIME_NS + self._offset_ns
 
     def step(self, seconds: float) -> None:
-        """Step the clock by this much."""
+        """Step the clock forward, or back by a negative number of seconds."""
         self._offset_ns += int(seconds * SECOND_NS)
 
 
 class Sidecar:
-    """A dispatcher with a policy that records ages."""
+    """A dispatcher with a policy that records the ages of endpoints."""
 
     def __init__(self) -> None:
         self._config = parse_configuration(configuration())
@@ -70,7 +73,7 @@
         name: str = "s-new",
         kind: EndpointUpdateKind = EndpointUpdateKind.DELTA,
     ) -> int:
-        """Apply an endpoint update with one endpoint, and return the age that the policy sees."""
+        """Apply an endpoint update with one endpoint, and return the age that the policy gets."""
         entry = endpoint_entry(name, "127.0.0.1:9") | {"born_ms": start_wall_time_ns // MILLISECOND_NS}
         update = parse_endpoint_list(endpoint_list(2, entry, is_snapshot=False), self._config.name_indices)
         self._dispatcher.on_endpoint_update(update, kind)
@@ -124,7 +127,7 @@
 
 @async_test
 async def test_start_time_in_the_future_counts_as_the_time_of_the_update() -> None:
-    """A sidecar that started after a step back, and an endpoint from before it."""
+    """This happens if the endpoint starts before a step back of the wall clock, and the sidecar after it."""
     sidecar = Sidecar()
     age_ns = sidecar.listed_age_ns(
         time.time_ns() + HOUR_SECONDS * SECOND_NS, kind=EndpointUpdateKind.SNAPSHOT
--- a/tests/sidecar/process/conftest.py
+++ b/tests/sidecar/process/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures of the tests that run the program in a process of its own."""
+"""Fixtures of the tests that run the program in a separate process."""
 
 from __future__ import annotations
 
@@ -11,5 +11,5 @@
 
 @pytest.fixture
 def configuration_file(tmp_path: Path) -> ConfigurationFile:
-    """Return the configuration file of one sidecar, which has yet to be written."""
+    """Return the configuration file of one sidecar, which has not been written yet."""
     return ConfigurationFile(tmp_path)
--- a/tests/sidecar/process/test_configuration_errors.py
+++ b/tests/sidecar/process/test_configuration_errors.py
@@ -1,4 +1,4 @@
-"""The program with a configuration that is missing or invalid."""
+"""Tests of the program with a missing or invalid configuration."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def run_to_error(environment: dict[str, str]) -> str:
-    """Run the program, check that it fails with one plain line, and return that line."""
+    """Run the program, check that it fails with a single line on standard error, and return that line."""
     inherited = {name: value for name, value in os.environ.items() if not name.startswith("PROXY_")}
     completed = subprocess.run(
         COMMAND,
--- a/tests/sidecar/process/test_configuration_reloader.py
+++ b/tests/sidecar/process/test_configuration_reloader.py
@@ -1,4 +1,4 @@
-"""Reloads of the configuration on SIGHUP: unreadable and invalid files, a new address of discovery."""
+"""Tests of reloads of the configuration on SIGHUP: unreadable and invalid files, new discovery address."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 async def send_sighup_until_exit(process: asyncio.subprocess.Process) -> int:
-    """Send SIGHUP in any of the steps of a shutdown, and return the exit status."""
+    """Send SIGHUP throughout all phases of a shutdown, and return the exit status."""
     exiting = asyncio.ensure_future(process.wait())
     while not exiting.done():
         with contextlib.suppress(ProcessLookupError):
@@ -61,7 +61,8 @@
     ):
         configuration_file.write("127.0.0.1:9", discovery=old_discovery.address)
         process = await start_process(configuration_file.path, stderr=asyncio.subprocess.PIPE)
-        client = await connect(configuration_file.listen_address)  # from here on it handles signals
+        # The program handles signals once it accepts connections.
+        client = await connect(configuration_file.listen_address)
         await old_discovery.request_arrived.wait()
         assert process.stderr is not None
         for text in invalid_texts:
--- a/tests/sidecar/process/test_graceful_shutdown.py
+++ b/tests/sidecar/process/test_graceful_shutdown.py
@@ -1,4 +1,4 @@
-"""The graceful shutdown of the program: requests in flight, open connections and further signals."""
+"""Tests of the graceful shutdown of the program: requests in flight, open connections, further signals."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
         assert (await before_signal.exchange(READINESS_REQUEST))[0] == 200
         before_signal.writer.write(request_bytes("post"))
         await endpoint.request_arrived.wait()
-        # Stopped, the process has both the signal and the connection waiting, in either order.
+        # When the stopped process continues, a signal and a connection are pending, and either may come first.
         process.send_signal(signal.SIGSTOP)
         process.send_signal(signal.SIGTERM)
         after_signal = Client(*await asyncio.open_connection(*split_address(listen_address)))
@@ -89,7 +89,7 @@
         await both_arrived.wait()
         for client in (before_signal, after_signal):
             assert (await client.read_response())[0] == 504
-        # Their deadlines are 9 s away; a shutdown leaves them 3.7 s.
+        # The deadlines of the requests are 9 s away, but during a shutdown all are answered within 3.7 s.
         assert asyncio.get_running_loop().time() - signalled_at_seconds < 6
         assert await process.wait() == 0
 
--- a/tests/sidecar/process/test_lifecycle.py
+++ b/tests/sidecar/process/test_lifecycle.py
@@ -1,4 +1,4 @@
-"""The program in a process of its own: start, restart and the counters in its log."""
+"""Tests of the program in a separate process: start, restart, log lines, and the metrics in its log."""
 
 from __future__ import annotations
 
--- a/tests/sidecar/process/test_scarce_descriptors.py
+++ b/tests/sidecar/process/test_scarce_descriptors.py
@@ -1,4 +1,4 @@
-"""The program while descriptors or sockets are scarce: at its start, under a flood, and for a while."""
+"""Tests of the program with too few descriptors or sockets: at the start, under a flood, and temporarily."""
 
 from __future__ import annotations
 
@@ -50,7 +50,7 @@
 
 
 class DiscoveryServer(ScriptedEndpoint):
-    """Discovery at a given address, which has one snapshot and no further update."""
+    """A discovery server at a given address, which sends one snapshot and no further update."""
 
     def __init__(self, *endpoint_addresses: str) -> None:
         super().__init__(self._answer)
@@ -69,7 +69,7 @@
 
 @contextlib.asynccontextmanager
 async def run_discovery(listen_address: str, *endpoint_addresses: str) -> AsyncIterator[DiscoveryServer]:
-    """Run discovery at this address, with these endpoints."""
+    """Run a discovery server at this address, which lists these endpoints."""
     discovery = DiscoveryServer(*endpoint_addresses)
     server = await discovery.start(listen_address)
     try:
@@ -82,9 +82,9 @@
 async def run_flooded_process(
     configuration_file: ConfigurationFile, discovery_address: str
 ) -> AsyncIterator[asyncio.subprocess.Process]:
-    """Run a sidecar that knows no endpoint, with more clients than it may have descriptors.
+    """Run a sidecar that knows no endpoint, with twice as many clients as it may have descriptors.
 
-    Discovery is down, and most clients send no whole request.
+    Most clients do not send a complete request. Discovery is down at first.
     """
     limits = {"sockets": MAX_DESCRIPTORS, "memory_mb": 64}
     configuration_file.write(discovery=discovery_address, limits=limits)
@@ -110,7 +110,7 @@
     listen_address, discovery_address = configuration_file.listen_address, unreachable_address()
 
     async def status_once_listed() -> int | None:
-        """Return the status of a request; None while the endpoint list is on its way."""
+        """Return the status of a request, or None while the sidecar has no endpoint list."""
         status = (await (await connect(listen_address)).exchange(request_bytes("post")))[0]
         return None if status == 503 else status
 
@@ -160,7 +160,7 @@
 socket.create_server = fail_at_first
 sys.exit(main())
 """
-"""A program in which the first three calls for a listening socket fail."""
+"""Runs the sidecar, with the first three calls of `socket.create_server` failing with the errno in argv."""
 
 
 @pytest.mark.parametrize("number", [errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM])
@@ -199,7 +199,7 @@
         limits = resource.prlimit(process.pid, resource.RLIMIT_NOFILE)
         highest_in_use = max(open_descriptors(process))
         resource.prlimit(process.pid, resource.RLIMIT_NOFILE, (highest_in_use + 1, limits[1]))
-        clients = [await connect(listen_address) for _ in range(40)]  # a few find a descriptor
+        clients = [await connect(listen_address) for _ in range(40)]  # a few of them get a descriptor
         responses = [asyncio.ensure_future(client.exchange(request_bytes())) for client in clients]
         assert (await open_client.exchange(request_bytes()))[0] == 200
         resource.prlimit(process.pid, resource.RLIMIT_NOFILE, limits)
--- a/tests/sidecar/runtime/test_metrics.py
+++ b/tests/sidecar/runtime/test_metrics.py
@@ -1,4 +1,4 @@
-"""The counters and the log of violations."""
+"""Tests of the counters and of the log of violations."""
 
 from __future__ import annotations
 
--- a/tests/sidecar/test_configuration_over_sockets.py
+++ b/tests/sidecar/test_configuration_over_sockets.py
@@ -8,7 +8,7 @@
 
 
 def test_connection_carries_one_request_at_a_time_whatever_the_settings_say() -> None:
-    """With more requests at a time, the policy would plan attempts that HTTP/1.1 connections cannot carry."""
+    """The settings may allow several for the simulator's connections, but HTTP/1.1 allows one."""
     settings = SETTINGS | {"Limits": {"StreamsPerConn": 100}}
     config = parse_configuration(configuration(unreachable_address(), settings=settings))
     assert config.settings.streams_per_connection == 1
