--- a/balancer/sidecar/configuration.py
+++ b/balancer/sidecar/configuration.py
@@ -213,7 +213,7 @@
             return int(seed)
     except (ValueError, OverflowError):
         pass
-    raise ConfigurationError("seed", f"is {seed!r}, not a finite number or hexadecimal text", seed)
+    raise ConfigurationError("seed", f"must be a finite number or hexadecimal text, got {seed!r}", seed)
 
 
 def _read_resource_limits(top: JsonObject) -> ResourceLimits:
--- a/balancer/sidecar/discovery/endpoint_list.py
+++ b/balancer/sidecar/discovery/endpoint_list.py
@@ -99,7 +99,7 @@
         raise MalformedEndpointListError("hosts", "is not a list", entries)
     version = raw.get("seq")
     if not is_integer(version):
-        raise MalformedEndpointListError("seq", f"is {version!r}, not an integer", version)
+        raise MalformedEndpointListError("seq", f"must be an integer, got {version!r}", version)
     is_snapshot = raw.get("whole") is True
     return EndpointListUpdate(version, is_snapshot, tuple(_parse_entries(entries, name_indices)))
 
--- a/tests/sidecar/process/test_graceful_shutdown.py
+++ b/tests/sidecar/process/test_graceful_shutdown.py
@@ -42,7 +42,7 @@
         assert (await before_signal.exchange(READINESS_REQUEST))[0] == 200
         before_signal.writer.write(request_bytes("post"))
         await endpoint.request_arrived.wait()
-        # When the stopped process continues, a signal and a connection are pending, and either may come first.
+        # When the stopped process continues, a signal and a connection are pending; either may come first.
         process.send_signal(signal.SIGSTOP)
         process.send_signal(signal.SIGTERM)
         after_signal = Client(*await asyncio.open_connection(*split_address(listen_address)))
