--- a/balancer/sidecar/configuration.py
+++ b/balancer/sidecar/configuration.py
@@ -28,7 +28,7 @@
 """How long a connection may be idle before endpoints close it, unless the settings say otherwise."""
 
 _ENVIRONMENT_KEYS = ("name", "listen", "discovery")
-"""Keys that may be missing from the file; PROXY_NAME, PROXY_LISTEN and PROXY_DISCOVERY then replace them."""
+"""Keys that the file may omit; their values are then taken from PROXY_NAME, PROXY_LISTEN, PROXY_DISCOVERY."""
 
 
 class UnreadableConfigurationError(ConfigurationError):
--- a/balancer/sidecar/discovery/call.py
+++ b/balancer/sidecar/discovery/call.py
@@ -122,7 +122,7 @@
     async def _call(self, query: str, timeout_seconds: float) -> EndpointListUpdate:
         """Make one call on a connection that no other call uses at the same time.
 
-        The complete response has to arrive within the timeout, even if a part of it has arrived by then.
+        The complete response has to arrive within the timeout, however slowly its bytes arrive.
         """
         connection = self._acquire_connection()
         try:
@@ -156,7 +156,9 @@
         if response is None:
             started = connection.response_started
             error_class = MalformedDiscoveryResponseError if started else DiscoveryCallError
-            raise error_class(self._address, "the connection was lost or the response is not valid HTTP")
+            raise error_class(
+                self._address, "the connection was lost, or the response is invalid or too large"
+            )
         if response.status != HTTPStatus.OK:
             raise DiscoveryCallError(self._address, f"expected status 200, got {response.status}")
         return response
--- a/balancer/sidecar/discovery/endpoint_list.py
+++ b/balancer/sidecar/discovery/endpoint_list.py
@@ -90,7 +90,7 @@
     An invalid entry is logged and skipped, unless it says that its endpoint is draining or removed. Unknown
     names of zones and machine classes get the index 0.
 
-    Raises MalformedEndpointListError if the list has no entries field or no valid version.
+    Raises MalformedEndpointListError if it is not an object, or has no list of entries or no integer version.
     """
     if not is_object(raw):
         raise MalformedEndpointListError("list", "is not an object", raw)
--- a/balancer/sidecar/discovery/profile.py
+++ b/balancer/sidecar/discovery/profile.py
@@ -57,7 +57,7 @@
     watches_continuously: bool
     """Whether the client watches from its start until it stops; otherwise the policy starts each watch."""
     reports_unchanged_lists: bool
-    """Whether the policy is notified of a response without changes, which it needs as it started the call."""
+    """Whether the policy is notified of a response without changes: it waits for a response to its call."""
 
 
 PUSHED_DISCOVERY = DiscoveryProfile(
--- a/balancer/sidecar/process/graceful_shutdown.py
+++ b/balancer/sidecar/process/graceful_shutdown.py
@@ -22,7 +22,7 @@
 """
 
 KILL_DELAY_SECONDS = 0.7
-"""SIGKILL may arrive after SIGTERM by the longest client timeout plus this time."""
+"""SIGKILL may arrive once the longest client timeout plus this time has passed since SIGTERM."""
 
 MAX_AWAITED_CLIENT_TIMEOUT_SECONDS = 3.0
 """The upper bound on the client timeout that the exit time is computed from."""
