--- a/tests/sidecar/discovery/test_client.py
+++ b/tests/sidecar/discovery/test_client.py
@@ -124,7 +124,7 @@
 
 @pushed_and_polled
 @pytest.mark.parametrize("name", CALL_OUTCOMES)
-def test_next_call_brings_the_change(name: str, polled: bool, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_next_call_returns_the_change(name: str, polled: bool, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(discovery_polling, "MAX_POLL_SPREAD_NS", SECOND_NS // 100)
     outcome = CALL_OUTCOMES[name]
     times_out = outcome.error_type is DiscoveryTimeoutError
--- a/tests/sidecar/process/test_graceful_shutdown.py
+++ b/tests/sidecar/process/test_graceful_shutdown.py
@@ -95,7 +95,7 @@
 
 
 @async_test
-async def test_shutdown_ignores_further_signals_and_takes_rest_of_request(
+async def test_shutdown_ignores_further_signals_and_receives_rest_of_request(
     configuration_file: ConfigurationFile,
 ) -> None:
     async def echo(received: ReceivedRequest) -> bytes:
@@ -114,8 +114,8 @@
         await wait_until_refused(listen_address)
         configuration_file.write_text("{")
         assert process.stderr is not None
-        for number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
-            process.send_signal(number)
+        for signal_number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
+            process.send_signal(signal_number)
         assert RELOAD_FAILED in await process.stderr.readline()
         sending_client.writer.write(raw[-2000:])
         assert (await sending_client.read_response())[2] == b"x" * 3000
--- a/tests/sidecar/process/test_lifecycle.py
+++ b/tests/sidecar/process/test_lifecycle.py
@@ -30,10 +30,10 @@
     assert await process.wait() == 0
 
 
-@pytest.mark.parametrize("number", [signal.SIGKILL, signal.SIGTERM])
+@pytest.mark.parametrize("signal_number", [signal.SIGKILL, signal.SIGTERM])
 @async_test
 async def test_restart_listens_at_same_address_despite_old_connections(
-    configuration_file: ConfigurationFile, number: signal.Signals
+    configuration_file: ConfigurationFile, signal_number: signal.Signals
 ) -> None:
     async with run_endpoint(answer_ok) as endpoint:
         configuration_file.write(endpoint.address)
@@ -42,13 +42,13 @@
         for _ in range(3):
             process = await start_process(configuration_file.path)
             idle, last = await connect(listen_address), await connect(listen_address)
-            open_clients += [last] if number == signal.SIGTERM else [idle, last]
+            open_clients += [last] if signal_number == signal.SIGTERM else [idle, last]
             assert (await idle.exchange(request_bytes()))[0] == 200
             assert (await last.exchange(request_bytes(extra_headers=CLOSE_HEADER)))[0] == 200
             assert await last.is_closed()
-            if number == signal.SIGTERM:
+            if signal_number == signal.SIGTERM:
                 idle.writer.close()
-            process.send_signal(number)
+            process.send_signal(signal_number)
             await process.wait()
 
 
--- a/tests/sidecar/process/test_scarce_descriptors.py
+++ b/tests/sidecar/process/test_scarce_descriptors.py
@@ -104,7 +104,7 @@
 
 
 @async_test
-async def test_flood_of_clients_blocks_neither_discovery_nor_endpoints_nor_other_clients(
+async def test_flood_of_clients_blocks_no_calls_to_discovery_or_endpoints_and_no_other_clients(
     configuration_file: ConfigurationFile,
 ) -> None:
     listen_address, discovery_address = configuration_file.listen_address, unreachable_address()
@@ -127,7 +127,7 @@
 
 
 @async_test
-async def test_sidecar_without_endpoints_and_discovery_gets_ready_under_flood(
+async def test_sidecar_without_endpoints_and_discovery_becomes_ready_under_flood(
     configuration_file: ConfigurationFile,
 ) -> None:
     listen_address = configuration_file.listen_address
@@ -145,7 +145,7 @@
         assert (await (await connect(listen_address)).exchange(request_bytes()))[0] == 503
 
 
-FAILING_START = """
+PROGRAM_WITH_FAILING_START = """
 import errno, os, socket, sys
 from balancer.__main__ import main
 
@@ -163,15 +163,15 @@
 """Runs the sidecar, with the first three calls of `socket.create_server` failing with the errno in argv."""
 
 
-@pytest.mark.parametrize("number", [errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM])
+@pytest.mark.parametrize("error_number", [errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM])
 @async_test
-async def test_start_waits_until_there_is_a_socket_to_listen_with(
-    configuration_file: ConfigurationFile, number: int
+async def test_start_is_retried_until_a_listening_socket_can_be_opened(
+    configuration_file: ConfigurationFile, error_number: int
 ) -> None:
     async with run_endpoint(answer_ok) as endpoint:
         configuration_file.write(endpoint.address)
         process = await asyncio.create_subprocess_exec(
-            *(sys.executable, "-c", FAILING_START, str(number)),
+            *(sys.executable, "-c", PROGRAM_WITH_FAILING_START, str(error_number)),
             env=os.environ | {"PROXY_CONFIG": str(configuration_file.path)},
             cwd=REPOSITORY_ROOT,
         )
@@ -187,7 +187,7 @@
 
 
 @async_test
-async def test_without_free_descriptors_new_connections_wait_and_are_answered_once_there_are(
+async def test_new_connections_wait_while_no_descriptor_is_free_and_are_answered_afterwards(
     configuration_file: ConfigurationFile,
 ) -> None:
     listen_address, discovery_address = configuration_file.listen_address, unreachable_address()
