--- a/tests/sidecar/discovery/test_client.py
+++ b/tests/sidecar/discovery/test_client.py
@@ -28,8 +28,8 @@
     DRAINING_UPDATE,
     INCOMPLETE_RESPONSE,
     UNCHANGED_UPDATE,
-    ResponseScript,
     CallRecorder,
+    ResponseScript,
     ScriptedDiscovery,
     discovery_settings,
     is_draining_update,
@@ -116,9 +116,7 @@
         match = re.fullmatch(rb"GET /discovery/hosts\?from=\d+&hold_ms=(\d+) HTTP/1\.1", line)
         assert match is not None
         assert (
-            profile.long_poll_timeout_seconds / 2
-            <= int(match[1]) / 1000
-            <= profile.long_poll_timeout_seconds
+            profile.long_poll_timeout_seconds / 2 <= int(match[1]) / 1000 <= profile.long_poll_timeout_seconds
         )
 
 
