--- a/tests/sidecar/discovery/test_discovery_over_sockets.py
+++ b/tests/sidecar/discovery/test_discovery_over_sockets.py
@@ -1,4 +1,4 @@
-"""Tests of discovery over loopback sockets: calls that fail, new addresses, lists that are asked for."""
+"""Tests of discovery over loopback sockets: failed calls, new addresses, and polled endpoint lists."""
 
 from __future__ import annotations
 
@@ -27,21 +27,24 @@
 from tests.sidecar.sidecar_under_test import Sidecar, run_sidecar
 
 UNUSED_ADDRESS = "127.0.0.1:9"
-ON_REQUEST = change_classes(Discovery="on_request")
-"""The settings with which endpoint lists are asked for, not pushed."""
+POLLED_SETTINGS = change_classes(Discovery="on_request")
+"""The settings of a sidecar whose endpoint lists are polled, not pushed."""
 
 
 def is_endpoint_update(kind: EndpointUpdateKind) -> Callable[[Event], bool]:
-    """Return whether an event is an endpoint update of this kind."""
+    """Return a predicate that holds for an endpoint update of this kind."""
     return lambda event: isinstance(event, EndpointUpdate) and event.kind == kind
 
 
-is_snapshot = is_endpoint_update(EndpointUpdateKind.SNAPSHOT)
+is_snapshot_update = is_endpoint_update(EndpointUpdateKind.SNAPSHOT)
 is_discovery_failure = is_endpoint_update(EndpointUpdateKind.DISCOVERY_FAILED)
 
 
 def respond_in_turn(*responses: bytes | None) -> tuple[Script, list[bytes]]:
-    """Return the script of a discovery that gives these responses, then none, and the paths of its calls."""
+    """Return a script that sends these responses in turn and then none, and the list of the paths called.
+
+    For a response that is None, the script closes the connection.
+    """
     paths: list[bytes] = []
 
     async def script(request: ReceivedRequest) -> bytes | None:
@@ -53,13 +56,13 @@
     return script, paths
 
 
-def list_response(sequence: int, *entries: dict[str, Any], whole: bool = True) -> bytes:
-    """Return a response with an endpoint list."""
-    return ok_response(json.dumps(endpoint_list(sequence, *entries, is_snapshot=whole)).encode())
+def list_response(version: int, *entries: dict[str, Any], is_snapshot: bool = True) -> bytes:
+    """Return a response with a snapshot of the endpoint list, or with changes."""
+    return ok_response(json.dumps(endpoint_list(version, *entries, is_snapshot=is_snapshot)).encode())
 
 
 def tolerate_late_responses(sidecar: Sidecar) -> None:
-    """Let no response of discovery count as late, however slow the machine is."""
+    """Extend the timeouts of the discovery client, so that no call times out on a slow machine."""
     sidecar.discovery.profile = replace(sidecar.discovery.profile, grace_seconds=TEST_TIMEOUT_SECONDS)
     sidecar.discovery.caller.connect_timeout_seconds = TEST_TIMEOUT_SECONDS
 
@@ -71,19 +74,19 @@
 
 
 @async_test
-async def test_watch_continues_from_known_sequence_after_any_failure() -> None:
-    added = endpoint_entry("s-1", UNUSED_ADDRESS)
-    drained = endpoint_entry("s-1", UNUSED_ADDRESS, "draining")
+async def test_watch_continues_from_last_version_after_any_failure() -> None:
+    ready = endpoint_entry("s-1", UNUSED_ADDRESS)
+    draining = endpoint_entry("s-1", UNUSED_ADDRESS, "draining")
     script, paths = respond_in_turn(
         None,
         status_response(503),
         ok_response(b"no JSON"),
         ok_response(b"[]"),
         ok_response(b'{"seq":1,"hosts":[7]}'),
-        list_response(2, endpoint_entry("s-1", UNUSED_ADDRESS) | {"share": math.inf}, whole=False),
-        list_response(1, whole=False),
-        list_response(2, added, whole=False),
-        list_response(3, drained, whole=False),
+        list_response(2, endpoint_entry("s-1", UNUSED_ADDRESS) | {"share": math.inf}, is_snapshot=False),
+        list_response(1, is_snapshot=False),
+        list_response(2, ready, is_snapshot=False),
+        list_response(3, draining, is_snapshot=False),
         list_response(4, endpoint_entry("s-2", UNUSED_ADDRESS)),
     )
 
@@ -93,20 +96,20 @@
     ):
         tolerate_late_responses(sidecar)
         sidecar.discovery.start()
-        snapshot = await sidecar.wait_for_event(is_snapshot)
+        snapshot = await sidecar.wait_for_event(is_snapshot_update)
         assert [endpoint.id for endpoint in snapshot.endpoints] == [derive_endpoint_id("s-2")]
         updates = [event for event in sidecar.events if isinstance(event, EndpointUpdate)]
         assert [update.kind for update in updates] == [1, 2, 2, 3]
         assert [update.endpoints[0].health for update in updates] == [1, 1, 2, 1]
         await wait_until(lambda: len(paths) >= 11)
         assert [path.split(b"&")[0] for path in paths[:11]] == [
-            b"/discovery/hosts?from=%d" % sequence for sequence in (1, 1, 1, 1, 1, 1, 2, 1, 2, 3, 4)
+            b"/discovery/hosts?from=%d" % version for version in (1, 1, 1, 1, 1, 1, 2, 1, 2, 3, 4)
         ]
 
 
 @async_test
-async def test_hung_watch_is_abandoned_and_next_one_brings_list() -> None:
-    """A watch that hangs would otherwise leave the sidecar with the list that it has."""
+async def test_hung_watch_times_out_and_next_one_brings_list() -> None:
+    """Without the timeout, a watch that hangs would leave the sidecar with an outdated list."""
     calls: list[ReceivedRequest] = []
 
     async def script(received: ReceivedRequest) -> bytes:
@@ -120,52 +123,55 @@
         run_sidecar(UNUSED_ADDRESS, discovery=endpoint.address) as sidecar,
     ):
         sidecar.discovery.start()
-        await sidecar.wait_for_event(is_snapshot)
+        await sidecar.wait_for_event(is_snapshot_update)
         assert calls[0].connection_closed.is_set()
         assert len(calls) >= 2
 
 
 @async_test
-async def test_new_discovery_address_is_asked_for_snapshot_at_once() -> None:
-    """Its sequence may start anew: a list with the number that the former had must not be skipped."""
-    former_script, _ = respond_in_turn(list_response(7, endpoint_entry("s-1", UNUSED_ADDRESS)))
-    current_script, paths = respond_in_turn(
+async def test_snapshot_is_requested_from_new_discovery_address_at_once() -> None:
+    """The new address may number its versions differently.
+
+    A list with the same version as the last list of the old address must not be skipped.
+    """
+    old_script, _ = respond_in_turn(list_response(7, endpoint_entry("s-1", UNUSED_ADDRESS)))
+    new_script, paths = respond_in_turn(
         None, ok_response(b"no JSON"), list_response(7, endpoint_entry("s-2", UNUSED_ADDRESS))
     )
     async with (
-        run_endpoint(former_script) as before,
-        run_endpoint(current_script) as after,
-        run_sidecar(UNUSED_ADDRESS, discovery=before.address) as sidecar,
+        run_endpoint(old_script) as old_discovery,
+        run_endpoint(new_script) as new_discovery,
+        run_sidecar(UNUSED_ADDRESS, discovery=old_discovery.address) as sidecar,
     ):
         tolerate_late_responses(sidecar)
         sidecar.discovery.start()
-        await sidecar.wait_for_event(is_snapshot)
-        await wait_until(lambda: len(before.received_requests) >= 2)
-        change_discovery_address(sidecar, after.address)
-        change_discovery_address(sidecar, after.address)  # the same address
+        await sidecar.wait_for_event(is_snapshot_update)
+        await wait_until(lambda: len(old_discovery.received_requests) >= 2)
+        change_discovery_address(sidecar, new_discovery.address)
+        change_discovery_address(sidecar, new_discovery.address)  # the same address
         await sidecar.wait_for_event(
-            lambda event: is_snapshot(event) and event.endpoints[0].id == derive_endpoint_id("s-2")
+            lambda event: is_snapshot_update(event) and event.endpoints[0].id == derive_endpoint_id("s-2")
         )
-        await before.received_requests[1].connection_closed.wait()  # the former watch has ended
+        await old_discovery.received_requests[1].connection_closed.wait()  # the old watch has ended
         await wait_until(lambda: len(paths) >= 4)
         assert paths[:3] == [b"/discovery/hosts"] * 3
         assert paths[3].startswith(b"/discovery/hosts?from=7&")
-        assert len(before.received_requests) == 2
+        assert len(old_discovery.received_requests) == 2
 
 
 @async_test
 async def test_last_of_several_new_discovery_addresses_is_used() -> None:
-    silent_script, _ = respond_in_turn()
+    unresponsive_script, _ = respond_in_turn()
     last_script, paths = respond_in_turn(list_response(1, endpoint_entry("s-2", UNUSED_ADDRESS)))
     async with (
-        run_endpoint(silent_script) as first,
+        run_endpoint(unresponsive_script) as first,
         run_endpoint(last_script) as second,
         run_sidecar(UNUSED_ADDRESS, discovery=unreachable_address()) as sidecar,
     ):
         sidecar.discovery.start()
         for address in (first.address, unreachable_address(), first.address, second.address):
             change_discovery_address(sidecar, address)
-        snapshot = await sidecar.wait_for_event(is_snapshot)
+        snapshot = await sidecar.wait_for_event(is_snapshot_update)
         assert snapshot.endpoints[0].id == derive_endpoint_id("s-2")
         assert paths
 
@@ -173,29 +179,31 @@
 def test_malformed_entry_hides_no_other_entry() -> None:
     names = NameIndices({}, {})
     valid = endpoint_entry("s-1", UNUSED_ADDRESS)
-    drained = endpoint_entry("s-2", "nowhere", "draining")
+    draining = endpoint_entry("s-2", "nowhere", "draining")
     malformed = [7, {}, endpoint_entry("s-3", "nowhere"), valid | {"share": math.inf}, valid | {"health": []}]
-    document = {"seq": 1, "whole": True, "hosts": [*malformed, drained, valid]}
+    document = {"seq": 1, "whole": True, "hosts": [*malformed, draining, valid]}
     update = parse_endpoint_list(document, names)
     assert [(listed.endpoint.id, listed.endpoint.health) for listed in update.endpoints] == [
-        # That it drains is plain, whatever its address is.
+        # An entry for a draining endpoint is applied even though its address is invalid.
         (derive_endpoint_id("s-2"), EndpointHealth.DRAINING),
         (derive_endpoint_id("s-1"), EndpointHealth.READY),
     ]
 
 
-INCOMPLETE_RESPONSES = [
-    None,  # no response at all
+UNUSABLE_RESPONSES = [
+    None,  # no response within the timeout
     ok_response(b'{"seq":2,"whole":false,"hosts":[{"host":"s-0","hea'),
     b"HTTP/1.1 200 OK\r\nContent-Length: 400\r\n\r\n" + b'{"seq":2,"whole":false,"hosts":[',
     b"HTTP/1.1 200 OK\r\nContent-Length: x\r\n\r\n",
 ]
 
 
-@pytest.mark.parametrize("first", INCOMPLETE_RESPONSES, ids=["silent", "malformed", "cut", "junk"])
+@pytest.mark.parametrize(
+    "first", UNUSABLE_RESPONSES, ids=["no response", "invalid JSON", "truncated", "invalid HTTP"]
+)
 @async_test
-async def test_watch_that_may_have_missed_update_is_reopened_at_once(first: bytes | None) -> None:
-    """Left to the policy, the next call could be seconds late, and a draining endpoint get requests."""
+async def test_watch_that_may_have_missed_update_is_retried_at_once(first: bytes | None) -> None:
+    """If the policy started the next call, it could be seconds late, and a draining endpoint get requests."""
     paths: list[bytes] = []
     on_first_call: list[Callable[[], None]] = []
 
@@ -212,13 +220,13 @@
 
     async with (
         run_endpoint(script) as endpoint,
-        run_sidecar(UNUSED_ADDRESS, discovery=endpoint.address, settings=ON_REQUEST) as sidecar,
+        run_sidecar(UNUSED_ADDRESS, discovery=endpoint.address, settings=POLLED_SETTINGS) as sidecar,
     ):
-        short_profile = replace(sidecar.discovery.profile, hold_seconds=1.0, grace_seconds=0.0)
-        long_profile = replace(short_profile, hold_seconds=TEST_TIMEOUT_SECONDS)
+        short_profile = replace(sidecar.discovery.profile, long_poll_timeout_seconds=1.0, grace_seconds=0.0)
+        long_profile = replace(short_profile, long_poll_timeout_seconds=TEST_TIMEOUT_SECONDS)
         sidecar.discovery.profile = short_profile
         sidecar.discovery.caller.connect_timeout_seconds = TEST_TIMEOUT_SECONDS
-        # Later calls may be slow.
+        # Only the first call may time out, as later ones may be slow.
         on_first_call.append(lambda: setattr(sidecar.discovery, "profile", long_profile))
         sidecar.discovery.set_watching(True)
         update = await sidecar.wait_for_event(is_endpoint_update(EndpointUpdateKind.DELTA))
@@ -228,31 +236,31 @@
 
 
 @pytest.mark.parametrize(
-    "response", [None, b"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n", INCOMPLETE_RESPONSES[1]]
+    "response", [None, b"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n", UNUSABLE_RESPONSES[1]]
 )
 @async_test
-async def test_watch_that_fails_again_is_left_to_policy(response: bytes | None) -> None:
+async def test_watch_that_fails_again_is_retried_by_policy(response: bytes | None) -> None:
     async def script(_request: ReceivedRequest) -> bytes | None:
         return response
 
     async with (
         run_endpoint(script) as endpoint,
-        run_sidecar(UNUSED_ADDRESS, discovery=endpoint.address, settings=ON_REQUEST) as sidecar,
+        run_sidecar(UNUSED_ADDRESS, discovery=endpoint.address, settings=POLLED_SETTINGS) as sidecar,
     ):
         tolerate_late_responses(sidecar)
         sidecar.discovery.set_watching(True)
         await sidecar.wait_for_event(is_discovery_failure)
-        assert len(endpoint.received_requests) == (2 if response == INCOMPLETE_RESPONSES[1] else 1)
+        assert len(endpoint.received_requests) == (2 if response == UNUSABLE_RESPONSES[1] else 1)
 
 
 @async_test
-async def test_new_discovery_address_is_asked_until_it_answers() -> None:
-    """Left to the policy after a failure, the list would come later than it counts as up to date."""
-    former_called = asyncio.Event()
-    failures = [None, INCOMPLETE_RESPONSES[1], status_response(503)]
+async def test_new_discovery_address_is_called_until_it_responds() -> None:
+    """If the policy started the next call after a failure, the list would be out of date for too long."""
+    old_address_called = asyncio.Event()
+    failures = [None, UNUSABLE_RESPONSES[1], status_response(503)]
 
-    async def stay_silent(received: ReceivedRequest) -> bytes:
-        former_called.set()
+    async def never_respond(received: ReceivedRequest) -> bytes:
+        old_address_called.set()
         return await never_answer(received)
 
     async def fail_at_first(_request: ReceivedRequest) -> bytes | None:
@@ -261,17 +269,17 @@
         return list_response(1, endpoint_entry("s-2", UNUSED_ADDRESS))
 
     async with (
-        run_endpoint(stay_silent) as before,
-        run_endpoint(fail_at_first) as after,
-        run_sidecar(UNUSED_ADDRESS, discovery=before.address, settings=ON_REQUEST) as sidecar,
+        run_endpoint(never_respond) as old_discovery,
+        run_endpoint(fail_at_first) as new_discovery,
+        run_sidecar(UNUSED_ADDRESS, discovery=old_discovery.address, settings=POLLED_SETTINGS) as sidecar,
     ):
         sidecar.discovery.set_watching(True)
-        await former_called.wait()
-        change_discovery_address(sidecar, after.address)
-        update = await sidecar.wait_for_event(is_snapshot)
+        await old_address_called.wait()
+        change_discovery_address(sidecar, new_discovery.address)
+        update = await sidecar.wait_for_event(is_snapshot_update)
         assert update.endpoints[0].id == derive_endpoint_id("s-2")
         assert not any(is_discovery_failure(event) for event in sidecar.events)
-        assert [received.request_line.split()[1] for received in after.received_requests[:4]] == [
+        assert [received.request_line.split()[1] for received in new_discovery.received_requests[:4]] == [
             b"/discovery/hosts"
         ] * 4
-        assert len(before.received_requests) == 1
+        assert len(old_discovery.received_requests) == 1
