--- a/balancer/sidecar/process/lifecycle.py
+++ b/balancer/sidecar/process/lifecycle.py
@@ -53,7 +53,7 @@
     log.info(
         "shutdown_started connections=%d requests_in_flight=%d",
         len(listener),
-        len(dispatcher.ledger.in_flight),
+        len(dispatcher.request_registry.in_flight),
     )
     await GracefulShutdown(config, dispatcher, listener, acceptor).run()
     reloader.cancel()
--- a/balancer/sidecar/requests/attempt_guard.py
+++ b/balancer/sidecar/requests/attempt_guard.py
@@ -13,11 +13,11 @@
 from balancer.policy_api import Endpoint, EndpointId, Idempotency, RequestClass, Settings
 from balancer.sidecar.requests.in_flight_request import InFlightRequest
 from balancer.sidecar.requests.log_fields import NONE, format_endpoint_id
-from balancer.sidecar.requests.repeat_safety import EndpointGroup, is_repeat_harmless
+from balancer.sidecar.requests.retry_safety import EndpointGroup, is_safe_to_retry
 from balancer.sidecar.runtime.metrics import Invariant, Metric, Metrics
 from balancer.time_units import MILLISECOND_NS
 
-MAX_EXECUTION_DELAY_NS = 150 * MILLISECOND_NS
+MAX_START_DELAY_NS = 150 * MILLISECOND_NS
 """How much later than its decision an attempt may start before that counts as a fault: the process may be
 delayed, so a repeat that was allowed when it was decided on may be too late when it starts."""
 
@@ -35,9 +35,9 @@
     """The time of the request is over."""
     ATTEMPTS_EXHAUSTED = "attempts_exhausted"
     """The request had as many attempts as the settings allow."""
-    REPEAT_FORBIDDEN = "repeat_forbidden"
+    RETRY_FORBIDDEN = "repeat_forbidden"
     """The request may have been executed, and the endpoint might execute it again."""
-    CLIENT_LEFT = "client_left"
+    CLIENT_DISCONNECTED = "client_left"
     """The client has disconnected, and no event has reported it yet."""
 
 
@@ -83,10 +83,10 @@
             return AttemptRefusal.IN_FLIGHT
         if request.attempt_count >= self._max_attempts:
             return AttemptRefusal.ATTEMPTS_EXHAUSTED
-        if not self._may_repeat(request, endpoint_id, now_ns):
-            return AttemptRefusal.REPEAT_FORBIDDEN
+        if not self._is_retry_allowed(request, endpoint_id, now_ns):
+            return AttemptRefusal.RETRY_FORBIDDEN
         # Checked last, as it costs a system call.
-        return AttemptRefusal.CLIENT_LEFT if request.is_abandoned() else None
+        return AttemptRefusal.CLIENT_DISCONNECTED if request.is_abandoned() else None
 
     def record_refusal(
         self, refusal: AttemptRefusal, request: InFlightRequest, endpoint_id: EndpointId, now_ns: int
@@ -101,10 +101,10 @@
         )
         if refusal is AttemptRefusal.IN_FLIGHT:
             self._record_second_attempt(request, endpoint_id)
-        elif refusal is AttemptRefusal.REPEAT_FORBIDDEN:
-            self._record_forbidden_repeat(request, endpoint_id, now_ns)
+        elif refusal is AttemptRefusal.RETRY_FORBIDDEN:
+            self._record_forbidden_retry(request, endpoint_id, now_ns)
 
-    def _may_repeat(self, request: InFlightRequest, endpoint_id: EndpointId, now_ns: int) -> bool:
+    def _is_retry_allowed(self, request: InFlightRequest, endpoint_id: EndpointId, now_ns: int) -> bool:
         """Return whether what may have been executed may be sent to this endpoint, too."""
         if not request.may_have_run:
             return True
@@ -119,20 +119,20 @@
         self, request: InFlightRequest, request_class: RequestClass, endpoint_id: EndpointId
     ) -> bool:
         """Return whether this endpoint drops repeats of what the first one executed, within the window."""
-        return is_repeat_harmless(request_class, request.executing_group, self.group_of(endpoint_id))
+        return is_safe_to_retry(request_class, request.executing_group, self.group_of(endpoint_id))
 
     def _record_second_attempt(self, request: InFlightRequest, endpoint_id: EndpointId) -> None:
         detail = f"request={request.request_id} endpoint={format_endpoint_id(endpoint_id)}"
         self._metrics.record_violation(Invariant.ONE_ATTEMPT, detail)
 
-    def _record_forbidden_repeat(
+    def _record_forbidden_retry(
         self, request: InFlightRequest, endpoint_id: EndpointId, now_ns: int
     ) -> None:
         """Count a violation, unless the repeat was only delayed until just after its window."""
         request_class = self._class_of(request)
         window_end_ns = _deduplication_end_ns(request, request_class)
         is_deduplicated = self._is_deduplicated(request, request_class, endpoint_id)
-        if is_deduplicated and now_ns < window_end_ns + MAX_EXECUTION_DELAY_NS:
+        if is_deduplicated and now_ns < window_end_ns + MAX_START_DELAY_NS:
             return
         detail = (
             f"request={request.request_id} endpoint={format_endpoint_id(endpoint_id)} "
@@ -148,7 +148,7 @@
         """Return whether a client's retry of this request, which may go to any endpoint, does no harm."""
         if not request.may_have_run:
             return True
-        return is_repeat_harmless(self._class_of(request), request.executing_group, None)
+        return is_safe_to_retry(self._class_of(request), request.executing_group, None)
 
     def record_unsafe_rejection(self, request: InFlightRequest) -> None:
         """Count a rejection that `may_reject` forbids as a violation."""
--- a/balancer/sidecar/requests/attempt_runner.py
+++ b/balancer/sidecar/requests/attempt_runner.py
@@ -15,11 +15,11 @@
 from balancer.sidecar.http.message import HttpResponse
 from balancer.sidecar.requests.attempt_guard import AttemptGuard, AttemptRefusal
 from balancer.sidecar.requests.client_disconnects import ClientDisconnects
-from balancer.sidecar.requests.final_answers import FinalAnswers
+from balancer.sidecar.requests.final_answers import FinalResponses
 from balancer.sidecar.requests.in_flight_request import InFlightRequest
-from balancer.sidecar.requests.ledger import RequestLedger
+from balancer.sidecar.requests.request_registry import RequestRegistry
 from balancer.sidecar.requests.log_fields import format_endpoint_id
-from balancer.sidecar.requests.ports import AttemptEvents
+from balancer.sidecar.requests.interfaces import AttemptEvents
 from balancer.sidecar.runtime.metrics import Invariant, Metric, Metrics
 from balancer.sidecar.upstream.manager import UpstreamManager
 from balancer.time_units import SECOND_NS
@@ -32,18 +32,18 @@
         self,
         now_ns: Callable[[], int],
         upstream: UpstreamManager,
-        ledger: RequestLedger,
+        request_registry: RequestRegistry,
         guard: AttemptGuard,
-        answers: FinalAnswers,
+        final_responses: FinalResponses,
         disconnects: ClientDisconnects,
         events: AttemptEvents,
         metrics: Metrics,
     ) -> None:
         self._now_ns = now_ns
         self._upstream = upstream
-        self._ledger = ledger
+        self._request_registry = request_registry
         self._guard = guard
-        self._answers = answers
+        self._final_responses = final_responses
         self._disconnects = disconnects
         self._events = events
         self._metrics = metrics
@@ -52,7 +52,7 @@
 
     def start(self, action: StartAttempt) -> None:
         """Start an attempt, or report at once that it has not started."""
-        request = self._ledger.in_flight.get(action.request_id)
+        request = self._request_registry.in_flight.get(action.request_id)
         now_ns = self._now_ns()
         if request is None or not self._may_start(request, action.endpoint_id, now_ns):
             self._report_not_started(action, request)
@@ -78,7 +78,7 @@
 
     def cancel(self, action: CancelAttempt) -> None:
         """End the attempt, if it is the current one of its request."""
-        request = self._ledger.in_flight.get(action.request_id)
+        request = self._request_registry.in_flight.get(action.request_id)
         if request is None or request.attempt is None:
             return
         if request.attempt_count - 1 == action.attempt_index:
@@ -94,7 +94,7 @@
         """
         if request.attempt is None:
             return
-        latency_objective_ns = self._ledger.class_of(request).latency_objective_ns
+        latency_objective_ns = self._request_registry.class_of(request).latency_objective_ns
         latest_end_ns = request.attempt_started_at_ns + latency_objective_ns
         request.has_background_attempt = True
         request.attempt.continue_in_background(
@@ -103,7 +103,7 @@
 
     def _on_background_ended(self, request: InFlightRequest) -> None:
         request.has_background_attempt = False
-        self._ledger.forget_if_finished(request)
+        self._request_registry.remove_if_finished(request)
 
     # ---- the start of an attempt
 
@@ -112,7 +112,7 @@
         refusal = self._guard.refusal(request, endpoint_id, now_ns)
         if refusal is None:
             return True
-        if refusal is AttemptRefusal.CLIENT_LEFT:
+        if refusal is AttemptRefusal.CLIENT_DISCONNECTED:
             self._disconnects.on_client_disconnected(request.request_id)
         self._guard.record_refusal(refusal, request, endpoint_id, now_ns)
         return False
@@ -166,9 +166,9 @@
         request.record_outcome(outcome)
         self._metrics.count(Metric.ATTEMPTS, outcome.name.lower())
         if outcome == AttemptOutcome.SUCCESS and response is not None:
-            self._answers.serve(request, response)
+            self._final_responses.serve(request, response)
         now_ns = self._now_ns()
-        self._ledger.forget_if_finished(request)
+        self._request_registry.remove_if_finished(request)
         self._events.dispatch(
             AttemptCompleted(
                 request_id=request.request_id,
--- a/balancer/sidecar/requests/client_disconnects.py
+++ b/balancer/sidecar/requests/client_disconnects.py
@@ -4,15 +4,15 @@
 
 from balancer.policy_api import ClientDisconnected
 from balancer.sidecar.requests.event_queue import EventQueue
-from balancer.sidecar.requests.ledger import RequestLedger
+from balancer.sidecar.requests.request_registry import RequestRegistry
 from balancer.sidecar.runtime.metrics import Metric, Metrics
 
 
 class ClientDisconnects:
     """Sees to it that nothing more is sent for a request that nobody waits for."""
 
-    def __init__(self, ledger: RequestLedger, events: EventQueue, metrics: Metrics) -> None:
-        self._ledger = ledger
+    def __init__(self, request_registry: RequestRegistry, events: EventQueue, metrics: Metrics) -> None:
+        self._request_registry = request_registry
         self._events = events
         self._metrics = metrics
 
@@ -22,11 +22,11 @@
         An attempt that was sent goes on, as ending it would cost its connection. One that still waits for
         its connection must not be sent, nor the rest of one that was sent in part: nobody wants the answer.
         """
-        request = self._ledger.mark_answered(request_id)
+        request = self._request_registry.mark_answered(request_id)
         if request is None:
             return
         self._metrics.count(Metric.CLIENTS_LEFT)
-        self._ledger.forget_if_finished(request)
+        self._request_registry.remove_if_finished(request)
         self._events.dispatch(ClientDisconnected(request_id))
         if request.attempt is not None:
-            request.attempt.give_up_unsent()
+            request.attempt.end_unless_sent()
--- a/balancer/sidecar/requests/dispatcher.py
+++ b/balancer/sidecar/requests/dispatcher.py
@@ -30,11 +30,11 @@
 from balancer.sidecar.requests.client_request import ClientRequest, ResponseSink
 from balancer.sidecar.requests.endpoint_updates import EndpointUpdates
 from balancer.sidecar.requests.event_queue import EventQueue
-from balancer.sidecar.requests.final_answers import FinalAnswers
+from balancer.sidecar.requests.final_answers import FinalResponses
 from balancer.sidecar.requests.housekeeping_actions import HousekeepingActions
-from balancer.sidecar.requests.ledger import RequestLedger
+from balancer.sidecar.requests.request_registry import RequestRegistry
 from balancer.sidecar.requests.policy_driver import PolicyDriver
-from balancer.sidecar.requests.ports import EndpointDiscovery, GossipSender, Policy
+from balancer.sidecar.requests.interfaces import EndpointDiscovery, GossipSender, Policy
 from balancer.sidecar.requests.request_deadlines import RequestDeadlines
 from balancer.sidecar.requests.request_intake import RequestIntake
 from balancer.sidecar.runtime.clock import Clock
@@ -80,25 +80,25 @@
         self._events = EventQueue(driver.handle)
 
         self.upstream = UpstreamManager(config, loop, now_ns)
-        self.ledger = RequestLedger(config.settings, loop, now_ns)
+        self.request_registry = RequestRegistry(config.settings, loop, now_ns)
         start_times = StartTimeTranslator(now_ns)
         guard = AttemptGuard(config.settings, self.metrics)
-        answers = FinalAnswers(self.ledger, guard, self.metrics)
-        self._disconnects = ClientDisconnects(self.ledger, self._events, self.metrics)
+        final_responses = FinalResponses(self.request_registry, guard, self.metrics)
+        self._disconnects = ClientDisconnects(self.request_registry, self._events, self.metrics)
         attempts = AttemptRunner(
             now_ns,
             self.upstream,
-            self.ledger,
+            self.request_registry,
             guard,
-            answers,
+            final_responses,
             self._disconnects,
             self._events,
             self.metrics,
         )
         self._deadlines = RequestDeadlines(
-            loop, now_ns, self.ledger, attempts, answers, self._events, self.metrics
+            loop, now_ns, self.request_registry, attempts, final_responses, self._events, self.metrics
         )
-        self._intake = RequestIntake(now_ns, self.ledger, self._deadlines, self._events, self.metrics)
+        self._intake = RequestIntake(now_ns, self.request_registry, self._deadlines, self._events, self.metrics)
         self._endpoint_updates = EndpointUpdates(
             self.upstream, guard, start_times, self._events, self.metrics
         )
@@ -106,9 +106,9 @@
 
         self._executor.register(StartAttempt, attempts.start)
         self._executor.register(CancelAttempt, attempts.cancel)
-        self._executor.register(RejectRequest, answers.reject)
-        self._executor.register(FailRequest, answers.fail)
-        self._housekeeping.register_at(self._executor)
+        self._executor.register(RejectRequest, final_responses.reject)
+        self._executor.register(FailRequest, final_responses.fail)
+        self._housekeeping.register_handlers(self._executor)
 
     def now_ns(self) -> int:
         """Return the time of the sidecar's clock, in nanoseconds since the Unix epoch."""
@@ -133,7 +133,7 @@
 
     def is_duplicate(self, client_request_id: bytes) -> bool:
         """Return whether a request with this id is in flight or must not be executed again."""
-        return self.ledger.is_duplicate(client_request_id)
+        return self.request_registry.is_duplicate(client_request_id)
 
     def submit(self, sink: ResponseSink, client_request: ClientRequest, waited_seconds: float = 0.0) -> int:
         """Take a request and return its request id.
--- a/balancer/sidecar/requests/final_answers.py
+++ b/balancer/sidecar/requests/final_answers.py
@@ -9,14 +9,14 @@
 from balancer.sidecar.http.message import HttpResponse
 from balancer.sidecar.requests.attempt_guard import AttemptGuard
 from balancer.sidecar.requests.in_flight_request import InFlightRequest
-from balancer.sidecar.requests.ledger import RequestLedger
+from balancer.sidecar.requests.request_registry import RequestRegistry
 from balancer.sidecar.requests.log_fields import NONE, format_endpoint_id
 from balancer.sidecar.runtime.metrics import Metric, Metrics
 
 log = logging.getLogger(__name__)
 
 
-class Answer(StrEnum):
+class FinalResponseKind(StrEnum):
     """The kinds of final answers."""
 
     SERVED = "served"
@@ -27,45 +27,45 @@
     """The request may have been executed."""
 
 
-class FinalAnswers:
+class FinalResponses:
     """Answers each request once; an answer to a request that is owed none is dropped."""
 
-    def __init__(self, ledger: RequestLedger, guard: AttemptGuard, metrics: Metrics) -> None:
-        self._ledger = ledger
+    def __init__(self, request_registry: RequestRegistry, guard: AttemptGuard, metrics: Metrics) -> None:
+        self._request_registry = request_registry
         self._guard = guard
         self._metrics = metrics
 
     def serve(self, request: InFlightRequest, response: HttpResponse) -> None:
         """Pass on an endpoint's successful response. The attempt that brought it has yet to be forgotten."""
-        if self._ledger.mark_answered(request.request_id) is not None:
-            self._metrics.count(Metric.RESPONSES, Answer.SERVED)
+        if self._request_registry.mark_answered(request.request_id) is not None:
+            self._metrics.count(Metric.RESPONSES, FinalResponseKind.SERVED)
             request.response_sink.send_response(response)
 
     def reject(self, action: RejectRequest) -> None:
         """Reject a request; one that must not be sent again fails instead."""
-        request = self._ledger.mark_answered(action.request_id)
+        request = self._request_registry.mark_answered(action.request_id)
         if request is None:
             return
         if self._guard.may_reject(request):
-            self._record(request, Answer.REJECTED)
+            self._record(request, FinalResponseKind.REJECTED)
             request.response_sink.reject(action.retry_after_ns)
-            self._ledger.forget_if_finished(request)
+            self._request_registry.remove_if_finished(request)
         else:
             self._guard.record_unsafe_rejection(request)
             self._send_failure(request)
 
     def fail(self, action: FailRequest) -> None:
         """Answer that a request failed, perhaps after it was executed."""
-        request = self._ledger.mark_answered(action.request_id)
+        request = self._request_registry.mark_answered(action.request_id)
         if request is not None:
             self._send_failure(request)
 
     def _send_failure(self, request: InFlightRequest) -> None:
-        self._record(request, Answer.FAILED)
+        self._record(request, FinalResponseKind.FAILED)
         request.response_sink.fail(request.last_outcome == AttemptOutcome.TIMEOUT)
-        self._ledger.forget_if_finished(request)
+        self._request_registry.remove_if_finished(request)
 
-    def _record(self, request: InFlightRequest, answer: Answer) -> None:
+    def _record(self, request: InFlightRequest, answer: FinalResponseKind) -> None:
         """Count an answer of the sidecar's own and log why it was given."""
         self._metrics.count(Metric.RESPONSES, answer)
         log.debug(
--- a/balancer/sidecar/requests/housekeeping_actions.py
+++ b/balancer/sidecar/requests/housekeeping_actions.py
@@ -18,7 +18,7 @@
 from balancer.sidecar.discovery.start_times import StartTimeTranslator
 from balancer.sidecar.requests.action_executor import ActionExecutor
 from balancer.sidecar.requests.event_queue import EventQueue
-from balancer.sidecar.requests.ports import EndpointDiscovery, GossipSender
+from balancer.sidecar.requests.interfaces import EndpointDiscovery, GossipSender
 from balancer.sidecar.upstream.manager import UpstreamManager
 from balancer.time_units import SECOND_NS
 
@@ -49,7 +49,7 @@
         self._upstream = upstream
         self._start_times = start_times
 
-    def register_at(self, executor: ActionExecutor) -> None:
+    def register_handlers(self, executor: ActionExecutor) -> None:
         """Register the handlers of these actions."""
         executor.register(SetTimer, self._set_timer)
         executor.register(StartHealthCheck, self._start_health_check)
--- a/balancer/sidecar/requests/in_flight_request.py
+++ b/balancer/sidecar/requests/in_flight_request.py
@@ -6,7 +6,7 @@
 
 from balancer.policy_api import OUTCOMES_NEVER_EXECUTED, AttemptOutcome, EndpointId
 from balancer.sidecar.requests.client_request import ClientRequest, ResponseSink
-from balancer.sidecar.requests.repeat_safety import EndpointGroup
+from balancer.sidecar.requests.retry_safety import EndpointGroup
 from balancer.sidecar.runtime.timers import OneShotTimer
 from balancer.sidecar.upstream.attempt import Attempt
 from balancer.time_units import SECOND_NS
--- a/balancer/sidecar/requests/request_deadlines.py
+++ b/balancer/sidecar/requests/request_deadlines.py
@@ -9,9 +9,9 @@
 from balancer.policy_api import ClientDisconnected, FailRequest
 from balancer.sidecar.requests.attempt_runner import AttemptRunner
 from balancer.sidecar.requests.event_queue import EventQueue
-from balancer.sidecar.requests.final_answers import FinalAnswers
+from balancer.sidecar.requests.final_answers import FinalResponses
 from balancer.sidecar.requests.in_flight_request import InFlightRequest
-from balancer.sidecar.requests.ledger import RequestLedger
+from balancer.sidecar.requests.request_registry import RequestRegistry
 from balancer.sidecar.requests.log_fields import format_endpoint_id
 from balancer.sidecar.runtime.metrics import Invariant, Metrics
 from balancer.sidecar.runtime.timers import OneShotTimer
@@ -31,16 +31,16 @@
         self,
         loop: asyncio.AbstractEventLoop,
         now_ns: Callable[[], int],
-        ledger: RequestLedger,
+        request_registry: RequestRegistry,
         attempts: AttemptRunner,
-        answers: FinalAnswers,
+        final_responses: FinalResponses,
         events: EventQueue,
         metrics: Metrics,
     ) -> None:
         self._now_ns = now_ns
-        self._ledger = ledger
+        self._request_registry = request_registry
         self._attempts = attempts
-        self._answers = answers
+        self._final_responses = final_responses
         self._events = events
         self._metrics = metrics
         self._shutdown_deadline_ns: int | None = None
@@ -63,12 +63,12 @@
     def expire_all_within(self, seconds: float) -> None:
         """Answer every request within this time, as the process ends then; also those still to come."""
         self._shutdown_deadline_ns = self._now_ns() + int(seconds * SECOND_NS)
-        for request in self._ledger.in_flight.values():
+        for request in self._request_registry.in_flight.values():
             request.expires_at_ns = min(request.expires_at_ns, self._shutdown_deadline_ns)
         self._shutdown_timer.start(seconds, self._expire_unanswered_requests)
 
     def _expire_unanswered_requests(self) -> None:
-        for request in list(self._ledger.in_flight.values()):
+        for request in list(self._request_registry.in_flight.values()):
             if not request.answered:
                 request.deadline_timer.cancel()
                 self._on_deadline(request)
@@ -91,5 +91,5 @@
             f"attempts={request.attempt_count}"
         )
         self._metrics.record_violation(Invariant.ANSWER_BY_DEADLINE, detail)
-        self._answers.fail(FailRequest(request.request_id))
+        self._final_responses.fail(FailRequest(request.request_id))
         self._events.dispatch(ClientDisconnected(request.request_id))
--- a/balancer/sidecar/requests/request_intake.py
+++ b/balancer/sidecar/requests/request_intake.py
@@ -7,7 +7,7 @@
 from balancer.policy_api import RequestReceived
 from balancer.sidecar.requests.client_request import ClientRequest, ResponseSink
 from balancer.sidecar.requests.event_queue import EventQueue
-from balancer.sidecar.requests.ledger import RequestLedger
+from balancer.sidecar.requests.request_registry import RequestRegistry
 from balancer.sidecar.requests.request_deadlines import RequestDeadlines
 from balancer.sidecar.runtime.metrics import Metric, Metrics
 from balancer.time_units import SECOND_NS
@@ -19,13 +19,13 @@
     def __init__(
         self,
         now_ns: Callable[[], int],
-        ledger: RequestLedger,
+        request_registry: RequestRegistry,
         deadlines: RequestDeadlines,
         events: EventQueue,
         metrics: Metrics,
     ) -> None:
         self._now_ns = now_ns
-        self._ledger = ledger
+        self._request_registry = request_registry
         self._deadlines = deadlines
         self._events = events
         self._metrics = metrics
@@ -35,7 +35,7 @@
         now_ns = self._now_ns()
         timeout_ns = client_request.timeout_ns - int(waited_seconds * SECOND_NS)
         expires_at_ns = self._deadlines.expires_at_ns(timeout_ns, now_ns)
-        request = self._ledger.add(sink, client_request, expires_at_ns)
+        request = self._request_registry.add(sink, client_request, expires_at_ns)
         self._metrics.count(Metric.REQUESTS)
         self._deadlines.start(request, now_ns)
         self._events.dispatch(
--- a/balancer/sidecar/requests/ledger.py
+++ b/balancer/sidecar/requests/request_registry.py
@@ -11,7 +11,7 @@
 from balancer.sidecar.runtime.timers import OneShotTimer
 
 
-class RequestLedger:
+class RequestRegistry:
     """Keeps each request until it is finished, and detects duplicates of requests.
 
     A client whose answer is lost with its connection may send its request again under the same id. While the
@@ -69,7 +69,7 @@
         request.answered = True
         return request
 
-    def forget_if_finished(self, request: InFlightRequest) -> None:
+    def remove_if_finished(self, request: InFlightRequest) -> None:
         """Drop the request if it is finished, and remember its id where a repeat would do harm."""
         if not request.is_finished:
             return
@@ -84,13 +84,13 @@
 
     def is_duplicate(self, client_request_id: bytes) -> bool:
         """Return whether a request with this id is in flight or must not be executed again."""
-        self._forget_expired_ids(self._now_ns())
+        self._remove_expired_ids(self._now_ns())
         return (
             client_request_id in self._client_ids_in_flight
             or client_request_id in self.executed_ids_expire_at_ns
         )
 
-    def _forget_expired_ids(self, now_ns: int) -> None:
+    def _remove_expired_ids(self, now_ns: int) -> None:
         while self.executed_ids_expire_at_ns:
             oldest_id, expires_at_ns = next(iter(self.executed_ids_expire_at_ns.items()))
             if expires_at_ns > now_ns:
--- a/balancer/sidecar/requests/repeat_safety.py
+++ b/balancer/sidecar/requests/retry_safety.py
@@ -17,7 +17,7 @@
         return f"{self.zone}/{self.cell}"
 
 
-def is_repeat_harmless(
+def is_safe_to_retry(
     request_class: RequestClass, first_group: EndpointGroup | None, second_group: EndpointGroup | None
 ) -> bool:
     """Return whether a request that may have been executed once may be executed a second time.
--- a/balancer/sidecar/upstream/attempt.py
+++ b/balancer/sidecar/upstream/attempt.py
@@ -42,7 +42,7 @@
     """A task waits until the reuse delay of a used connection is over, or a new connection is established.
 
     With the connection the request is written (IN_FLIGHT). The attempt ends if there is none, if it is too
-    late, or if the endpoint accepts no new requests any more. `give_up_unsent`, `expire` and
+    late, or if the endpoint accepts no new requests any more. `end_unless_sent`, `expire` and
     `continue_in_background` report that nothing was sent (DETACHED).
     """
     DETACHED = auto()
@@ -137,7 +137,7 @@
             self._send(connection)
             return
         reuse_delay_seconds = self._pool.seconds_until_reusable(provider.now_ns())
-        if reuse_delay_seconds > 0 or provider.make_room():
+        if reuse_delay_seconds > 0 or provider.ensure_connection_capacity():
             self._state = AttemptState.CONNECTING
             self._connect_task = provider.loop.create_task(self._connect_and_send(reuse_delay_seconds))
         else:
@@ -152,7 +152,7 @@
             self._connection.close()
         self._end(outcome)
 
-    def give_up_unsent(self) -> bool:
+    def end_unless_sent(self) -> bool:
         """End the attempt unless its request was sent completely. Returns whether it is ended or detached.
 
         The pool gets a connection that is still being established. If a part of the request was sent, the
@@ -168,7 +168,7 @@
 
     def expire(self) -> None:
         """End the attempt, as its timeout is over."""
-        if not self.give_up_unsent():
+        if not self.end_unless_sent():
             self.abort(AttemptOutcome.TIMEOUT)
 
     def continue_in_background(self, seconds: float, on_released: Callable[[], None]) -> None:
@@ -226,7 +226,7 @@
         elif connection is None:
             self._end(failure_outcome)
         else:
-            self._use_new_connection(connection)
+            self._use_connection(connection)
 
     def _end_detached(self, connection: OutboundConnection | None) -> None:
         self._state = AttemptState.ENDED
@@ -234,7 +234,7 @@
         if connection is not None:
             self._pool.release(connection, self._provider.now_ns())
 
-    def _use_new_connection(self, connection: OutboundConnection) -> None:
+    def _use_connection(self, connection: OutboundConnection) -> None:
         if not self._pool.is_ready:
             # The endpoint began to drain or was removed during the connect: it accepts no new requests.
             connection.close()
--- a/balancer/sidecar/upstream/connection_acquisition.py
+++ b/balancer/sidecar/upstream/connection_acquisition.py
@@ -61,7 +61,7 @@
             connection = self._take_idle()
             if connection is not None:
                 return connection
-            self._check_room()
+            self._require_connection_capacity()
         return await self._open()
 
     async def _wait(self, delay_seconds: float) -> None:
@@ -101,12 +101,12 @@
                 connection.close()
             if not self._is_wanted() or not self._pool.is_ready:
                 raise EndpointUnreachableError(address)
-            self._check_room()
+            self._require_connection_capacity()
 
     def _take_idle(self) -> OutboundConnection | None:
         return self._pool.acquire(self._provider.now_ns())
 
-    def _check_room(self) -> None:
+    def _require_connection_capacity(self) -> None:
         """Raise LocalResourceError if no further connection may be opened."""
-        if not self._provider.make_room():
+        if not self._provider.ensure_connection_capacity():
             raise LocalResourceError(self._pool.address)
--- a/balancer/sidecar/upstream/connection_provider.py
+++ b/balancer/sidecar/upstream/connection_provider.py
@@ -40,7 +40,7 @@
     def now_ns(self) -> int:
         """Return the time of the sidecar's clock."""
 
-    def make_room(self) -> bool:
+    def ensure_connection_capacity(self) -> bool:
         """Return whether a connection may be opened, having closed an idle one if need be."""
 
 
--- a/balancer/sidecar/upstream/health_check.py
+++ b/balancer/sidecar/upstream/health_check.py
@@ -20,9 +20,9 @@
 """Returns the load report of a response; () if there is none."""
 
 
-def build_health_check_request(asks_for_load: bool) -> bytes:
+def build_health_check_request(requests_load_report: bool) -> bytes:
     """Return the request of a health check, which asks for a load report if endpoints have one."""
-    path = "/metrics/load" if asks_for_load else "/alive"
+    path = "/metrics/load" if requests_load_report else "/alive"
     return f"GET {path} HTTP/1.1\r\nHost: backend.local\r\n\r\n".encode()
 
 
--- a/balancer/sidecar/upstream/manager.py
+++ b/balancer/sidecar/upstream/manager.py
@@ -176,15 +176,15 @@
 
     # ---- connections
 
-    def make_room(self) -> bool:
+    def ensure_connection_capacity(self) -> bool:
         """Return whether one more connection may be opened, having closed the longest idle one if need be."""
         if self.open_connection_count < self.max_connections:
             return True
         pools = [pool for pool in self._pools.values() if pool.idle_connections]
         if not pools:
             return False
-        longest_idle = min(pools, key=lambda pool: pool.idle_connections[0].idle_since_ns)
-        longest_idle.close_longest_idle()
+        pool_with_longest_idle = min(pools, key=lambda pool: pool.idle_connections[0].idle_since_ns)
+        pool_with_longest_idle.close_longest_idle()
         return True
 
     async def open_connection(self, pool: EndpointPool, /) -> OutboundConnection:
--- a/balancer/sidecar/upstream/pool.py
+++ b/balancer/sidecar/upstream/pool.py
@@ -14,7 +14,7 @@
 request that was written in the meantime, it would be forwarded, or state that the request was not executed.
 """
 
-SURPLUS_IDLE_NS = 4 * SECOND_NS
+SURPLUS_IDLE_TIMEOUT_NS = 4 * SECOND_NS
 """Idle time after which a surplus connection, which a burst has left, is closed.
 
 Each connection takes a part of the endpoint's capacity; a new handshake costs as much work as holding one
@@ -85,7 +85,7 @@
             return
         connection.idle_since_ns = now_ns
         self.idle_connections.append(connection)
-        while self.idle_connections[0].idle_since_ns < now_ns - SURPLUS_IDLE_NS:
+        while self.idle_connections[0].idle_since_ns < now_ns - SURPLUS_IDLE_TIMEOUT_NS:
             self.close_longest_idle()  # never the one that was released just now
 
     def seconds_until_reusable(self, now_ns: int) -> float:
--- a/soak/mutants.py
+++ b/soak/mutants.py
@@ -66,7 +66,7 @@
     _mutant(
         "an attempt that is not completely sent is cancelled with its client",
         "balancer/sidecar/requests/client_disconnects.py",
-        "            request.attempt.give_up_unsent()",
+        "            request.attempt.end_unless_sent()",
         "            pass",
     ),
     _mutant(
--- a/tests/sidecar/downstream/test_client_disconnect.py
+++ b/tests/sidecar/downstream/test_client_disconnect.py
@@ -131,7 +131,7 @@
             request_count = await send_requests(sidecar, client, state, lambda: connected_count)
             connections_released.set()
             await wait_until(lambda: disconnected_count(sidecar) == request_count)
-            await wait_until(lambda: not sidecar.dispatcher.ledger.in_flight)
+            await wait_until(lambda: not sidecar.dispatcher.request_registry.in_flight)
             assert not endpoint.received_requests
             completed = [event for event in sidecar.events if isinstance(event, AttemptCompleted)]
             expected = [(AttemptOutcome.NOT_SENT, True)] * request_count
@@ -167,7 +167,7 @@
 
             monkeypatch.setattr(sidecar.balancer, "handle", disconnect_and_handle)
             responses_released.set()
-            await wait_until(lambda: not sidecar.dispatcher.ledger.in_flight)
+            await wait_until(lambda: not sidecar.dispatcher.request_registry.in_flight)
             # Not all of a full pipeline: some of its requests are rejected, as the retry budget is small.
             assert disconnected_count(sidecar)
             assert attempt_count() == request_count
@@ -195,7 +195,7 @@
         with connect_socket(sidecar) as client:
             gets = [request_bytes() for _ in range(MAX_PIPELINED_REQUESTS - 1)]
             client.sendall(b"".join(gets) + request_bytes("post", body=b"x", extra_headers=extra))
-            await wait_until(lambda: posts and len(sidecar.dispatcher.ledger.in_flight) == 1)
+            await wait_until(lambda: posts and len(sidecar.dispatcher.request_registry.in_flight) == 1)
             connection = only_connection(sidecar)
             assert connection.flow_control.is_write_blocked
             assert connection.flow_control.is_reading_paused == (not extra)
@@ -203,6 +203,6 @@
             if extra and how is Disconnect.HALF_CLOSE:
                 await wait_until(lambda: disconnected_count(sidecar))  # an event reports it
             response_released.set()
-            await wait_until(lambda: not sidecar.dispatcher.ledger.in_flight)
+            await wait_until(lambda: not sidecar.dispatcher.request_registry.in_flight)
             assert len(posts) == 1
             assert disconnected_count(sidecar) == 1
--- a/tests/sidecar/downstream/test_listener.py
+++ b/tests/sidecar/downstream/test_listener.py
@@ -44,7 +44,7 @@
         return ok_response(b"the first's")
 
     def is_answered(sidecar: Sidecar) -> bool:
-        in_flight = sidecar.dispatcher.ledger.in_flight
+        in_flight = sidecar.dispatcher.request_registry.in_flight
         return not in_flight or next(iter(in_flight.values())).answered
 
     async with run_endpoint(respond_when_released) as endpoint, run_sidecar(endpoint.address) as sidecar:
@@ -189,7 +189,7 @@
     client.sendall(b"".join([request_bytes() for _ in range(7)]) + request_bytes(extra_headers=CLOSE_HEADER))
     await wait_until(
         lambda: (
-            len(endpoint.received_requests) >= earlier_count + 8 and not sidecar.dispatcher.ledger.in_flight
+            len(endpoint.received_requests) >= earlier_count + 8 and not sidecar.dispatcher.request_registry.in_flight
         )
     )
 
@@ -225,4 +225,4 @@
             set_time(sidecar, started_at_seconds + seconds)
             assert (await client.exchange(READINESS_REQUEST))[0] == status
         assert (await client.exchange(request_bytes("post")))[0] == 503
-        assert not sidecar.dispatcher.ledger.in_flight
+        assert not sidecar.dispatcher.request_registry.in_flight
--- a/tests/sidecar/downstream/test_pipelining.py
+++ b/tests/sidecar/downstream/test_pipelining.py
@@ -26,7 +26,7 @@
 
     async def count_in_flight(_request: ReceivedRequest) -> bytes:
         nonlocal max_in_flight
-        max_in_flight = max(max_in_flight, len(sidecar.dispatcher.ledger.in_flight))
+        max_in_flight = max(max_in_flight, len(sidecar.dispatcher.request_registry.in_flight))
         return ok_response()
 
     async with run_endpoint(count_in_flight) as endpoint, run_sidecar(endpoint.address) as sidecar:
--- a/tests/sidecar/downstream/test_requests_over_sockets.py
+++ b/tests/sidecar/downstream/test_requests_over_sockets.py
@@ -116,7 +116,7 @@
         for _ in range(request_count):
             disconnected = await sidecar.wait_for_event(lambda event: isinstance(event, ClientDisconnected))
             sidecar.events.remove(disconnected)
-        assert not sidecar.dispatcher.ledger.in_flight
+        assert not sidecar.dispatcher.request_registry.in_flight
         gate.opened.set()
         next_client = await sidecar.connect_client()
         assert (await next_client.exchange(request_bytes(request_id="77"))).status == 200
--- a/tests/sidecar/requests/test_attempt_guard.py
+++ b/tests/sidecar/requests/test_attempt_guard.py
@@ -17,7 +17,7 @@
     RequestClass,
     Settings,
 )
-from balancer.sidecar.requests.attempt_guard import MAX_EXECUTION_DELAY_NS, AttemptGuard, AttemptRefusal
+from balancer.sidecar.requests.attempt_guard import MAX_START_DELAY_NS, AttemptGuard, AttemptRefusal
 from balancer.sidecar.requests.client_request import ClientRequest, ResponseSink
 from balancer.sidecar.requests.in_flight_request import InFlightRequest
 from balancer.sidecar.runtime.metrics import Invariant, Metric, Metrics
@@ -154,7 +154,7 @@
 async def test_attempt_may_not_start_for_client_that_left() -> None:
     left = situation()
     left.sink.client_left = True
-    assert left.refusal() == AttemptRefusal.CLIENT_LEFT
+    assert left.refusal() == AttemptRefusal.CLIENT_DISCONNECTED
     assert not left.request.answered  # the guard only asks; the runner abandons the request
 
 
@@ -199,7 +199,7 @@
     remaining = Endpoint(b"same cell", 0, 0, 0, EndpointHealth.READY, 1.0, 0)
     repeated.guard.update_endpoints([remaining], is_snapshot=True)
     assert repeated.refusal(b"same cell") is None
-    assert repeated.refusal(b"first") == AttemptRefusal.REPEAT_FORBIDDEN
+    assert repeated.refusal(b"first") == AttemptRefusal.RETRY_FORBIDDEN
 
 
 @async_test
@@ -207,9 +207,9 @@
     repeated = situation("all")
     repeated.complete_attempt(AttemptOutcome.TIMEOUT)
     assert repeated.refusal(now_ns=WINDOW_NS - 1) is None
-    assert repeated.refusal(now_ns=WINDOW_NS) == AttemptRefusal.REPEAT_FORBIDDEN
+    assert repeated.refusal(now_ns=WINDOW_NS) == AttemptRefusal.RETRY_FORBIDDEN
     assert repeated.violations(Invariant.REPEAT_ALLOWED) == 0
-    assert repeated.refusal(now_ns=WINDOW_NS + MAX_EXECUTION_DELAY_NS) == AttemptRefusal.REPEAT_FORBIDDEN
+    assert repeated.refusal(now_ns=WINDOW_NS + MAX_START_DELAY_NS) == AttemptRefusal.RETRY_FORBIDDEN
     assert repeated.violations(Invariant.REPEAT_ALLOWED) == 1
 
 
--- a/tests/sidecar/requests/test_dispatcher.py
+++ b/tests/sidecar/requests/test_dispatcher.py
@@ -24,7 +24,7 @@
     TimerFired,
 )
 from balancer.sidecar.discovery.endpoint_list import derive_endpoint_id
-from balancer.sidecar.requests.ports import Policy
+from balancer.sidecar.requests.interfaces import Policy
 from balancer.sidecar.runtime.metrics import Invariant, Metric
 from balancer.time_units import MILLISECOND_NS, SECOND_NS
 from tests.sidecar.configuration_documents import change_classes
@@ -90,7 +90,7 @@
         may_answer.set()
         await wait_until(lambda: not sidecar.dispatcher.upstream.background_attempts)
         assert not sidecar.dispatcher.is_duplicate(b"9b1f")
-        assert not sidecar.dispatcher.ledger.in_flight
+        assert not sidecar.dispatcher.request_registry.in_flight
         assert (await client.exchange(request_bytes())).status_and_body == (200, b"next")
         assert endpoint.connection_count == 1
         assert len(endpoint.received_requests) == 2
@@ -108,11 +108,11 @@
         assert (await client.exchange(request_bytes(deadline="1"))).status == 503
         if not goes_on:
             assert not sidecar.dispatcher.upstream.background_attempts
-            assert not sidecar.dispatcher.ledger.in_flight
+            assert not sidecar.dispatcher.request_registry.in_flight
         [received] = endpoint.received_requests
         await received.connection_closed.wait()  # in either case
         assert not sidecar.dispatcher.upstream.background_attempts
-        assert not sidecar.dispatcher.ledger.in_flight
+        assert not sidecar.dispatcher.request_registry.in_flight
 
 
 @async_test
@@ -180,7 +180,7 @@
         may_answer.set()
         completed = await sidecar.wait_for_event(is_attempt_completed)
         assert (completed.outcome, completed.request_finished) == (AttemptOutcome.REJECTED, True)
-        assert not sidecar.dispatcher.ledger.in_flight
+        assert not sidecar.dispatcher.request_registry.in_flight
         assert len(first.received_requests) + len(second.received_requests) == 1
 
 
--- a/tests/sidecar/requests/test_ledger.py
+++ b/tests/sidecar/requests/test_request_registry.py
@@ -23,14 +23,14 @@
         first_client = await sidecar.connect_client()
         second_client = await sidecar.connect_client()
         assert (await first_client.exchange(request_bytes(class_name, request_id="9b1f"))).status == 200
-        assert not sidecar.dispatcher.ledger.in_flight
+        assert not sidecar.dispatcher.request_registry.in_flight
         status_code, _, _ = await second_client.exchange(request_bytes(class_name, request_id="9b1f"))
         # An idempotent request may be sent again.
         assert status_code == (409 if class_name == "post" else 200)
         advance_clock(sidecar.dispatcher.clock, 9 * SECOND_NS)  # the client has given up by then
         last_client = await sidecar.connect_client()
         assert (await last_client.exchange(request_bytes("post", request_id="77"))).status == 200
-        assert list(sidecar.dispatcher.ledger.executed_ids_expire_at_ns) == [b"77"]
+        assert list(sidecar.dispatcher.request_registry.executed_ids_expire_at_ns) == [b"77"]
 
 
 @async_test
--- a/tests/sidecar/test_overload_over_sockets.py
+++ b/tests/sidecar/test_overload_over_sockets.py
@@ -195,7 +195,7 @@
 
 def all_attempts_are_sent(sidecar: Sidecar) -> bool:
     """Return whether no attempt is waiting for its connection."""
-    requests = sidecar.dispatcher.ledger.in_flight.values()
+    requests = sidecar.dispatcher.request_registry.in_flight.values()
     attempts = [request.attempt for request in requests if request.attempt is not None]
     return all(attempt.state is not AttemptState.CONNECTING for attempt in attempts)
 
@@ -204,7 +204,7 @@
     clients: list[Client], sidecar: Sidecar, deadline: str
 ) -> asyncio.Future[list[ClientResponse]]:
     """Send a read for each client. Returns the future responses once all reads have been forwarded."""
-    in_flight = sidecar.dispatcher.ledger.in_flight
+    in_flight = sidecar.dispatcher.request_registry.in_flight
     count_before = len(in_flight)
     exchanges = asyncio.gather(*(client.exchange(request_bytes(deadline=deadline)) for client in clients))
     await wait_until(lambda: len(in_flight) == count_before + len(clients))
--- a/tests/sidecar/upstream/harness.py
+++ b/tests/sidecar/upstream/harness.py
@@ -235,7 +235,7 @@
 
 async def wait_for_attempt_in_flight(sidecar: Sidecar) -> Attempt:
     """Wait until the attempt of the only request is in flight, and return it."""
-    in_flight = sidecar.dispatcher.ledger.in_flight
+    in_flight = sidecar.dispatcher.request_registry.in_flight
     await wait_until(lambda: sidecar.dispatcher.upstream.open_connection_count and in_flight)
     [request] = in_flight.values()
     await wait_until(lambda: request.attempt is not None and request.attempt.state is AttemptState.IN_FLIGHT)
--- a/tests/sidecar/upstream/test_attempt_connecting.py
+++ b/tests/sidecar/upstream/test_attempt_connecting.py
@@ -51,7 +51,7 @@
         await sidecar.wait_for_event(lambda event: isinstance(event, ClientDisconnected))
         assert (await sidecar.wait_for_event(is_attempt_completed)).outcome == AttemptOutcome.NOT_SENT
         assert not sidecar.dispatcher.is_duplicate(b"9b1f")
-        assert not sidecar.dispatcher.ledger.in_flight
+        assert not sidecar.dispatcher.request_registry.in_flight
         gate.opened.set()
         next_client = await sidecar.connect_client()
         assert (await next_client.exchange(request_bytes("post", request_id="77"))).status == 200
@@ -111,7 +111,7 @@
         assert (await client.read_response()).status == 503  # rejected: a retry does no harm
         completed = await sidecar.wait_for_event(is_attempt_completed)
         assert (completed.outcome, completed.request_finished) == (AttemptOutcome.NOT_SENT, False)
-        assert not sidecar.dispatcher.ledger.in_flight
+        assert not sidecar.dispatcher.request_registry.in_flight
         assert not sidecar.dispatcher.is_duplicate(b"9b1f")
         # It says nothing of the endpoint, and its connection is kept.
         [state] = sidecar.balancer.membership.endpoints.values()
--- a/tests/sidecar/upstream/test_attempt_outcome.py
+++ b/tests/sidecar/upstream/test_attempt_outcome.py
@@ -117,7 +117,7 @@
         client = await sidecar.connect_client()
         assert (await client.exchange(request_bytes())).status == 503
         assert (await sidecar.wait_for_event(is_attempt_completed)).outcome == AttemptOutcome.NOT_SENT
-        assert not sidecar.dispatcher.ledger.in_flight
+        assert not sidecar.dispatcher.request_registry.in_flight
         assert upstream.open_connection_count == 0
         assert not upstream.background_attempts
 
@@ -219,4 +219,4 @@
         assert len(first.connections) + len(second.connections) == 1
         assert upstream.buffer_budget.used_bytes == 0
         assert not upstream.background_attempts
-        assert not sidecar.dispatcher.ledger.in_flight
+        assert not sidecar.dispatcher.request_registry.in_flight
--- a/tests/sidecar/upstream/test_attempt_partly_sent.py
+++ b/tests/sidecar/upstream/test_attempt_partly_sent.py
@@ -103,7 +103,7 @@
             await send_until_expired(sidecar, request, expired)
         await wait_until(lambda: not upstream.open_connection_count)
         assert not upstream.background_attempts
-        assert not sidecar.dispatcher.ledger.in_flight
+        assert not sidecar.dispatcher.request_registry.in_flight
         assert receive_all(server) < 60_000
 
 
@@ -112,7 +112,7 @@
     """The rest would be sent whenever the endpoint continues to read, for a client that does not wait."""
     async with narrow_endpoint() as (server, address), run_sidecar(address) as sidecar:
         upstream = sidecar.dispatcher.upstream
-        in_flight = sidecar.dispatcher.ledger.in_flight
+        in_flight = sidecar.dispatcher.request_registry.in_flight
         narrow_send_buffers(upstream)
         client = await sidecar.connect_client()
         client.writer.write(request_bytes("post", body=b"x" * 60_000))
--- a/tests/sidecar/upstream/test_pool.py
+++ b/tests/sidecar/upstream/test_pool.py
@@ -7,7 +7,7 @@
 import pytest
 
 from balancer.policy_api import ClientDisconnected, RequestReceived
-from balancer.sidecar.upstream.pool import CONNECTION_REUSE_DELAY_NS, SURPLUS_IDLE_NS
+from balancer.sidecar.upstream.pool import CONNECTION_REUSE_DELAY_NS, SURPLUS_IDLE_TIMEOUT_NS
 from balancer.time_units import SECOND_NS
 from tests.sidecar.event_loop import async_test, wait_until
 from tests.sidecar.messages import ok_response, request_bytes
@@ -32,11 +32,11 @@
         burst = [await upstream.connect(pool) for _ in range(3)]
         for connection in burst:
             pool.release(connection, now_ns)
-        now_ns += SURPLUS_IDLE_NS // 2
+        now_ns += SURPLUS_IDLE_TIMEOUT_NS // 2
         assert pool.acquire(now_ns) is burst[2]
         pool.release(burst[2], now_ns)
         assert pool.idle_connections == burst
-        now_ns += SURPLUS_IDLE_NS
+        now_ns += SURPLUS_IDLE_TIMEOUT_NS
         assert pool.acquire(now_ns) is burst[2]
         pool.release(burst[2], now_ns)
         assert pool.idle_connections == [burst[2]]
