--- a/balancer/sidecar/requests/__init__.py
+++ b/balancer/sidecar/requests/__init__.py
@@ -1,1 +1,1 @@
-"""Requests in flight: events go to the policy, and the actions that it decides on are carried out."""
+"""Processing of requests: passes events to the policy and carries out the actions that it returns."""
--- a/balancer/sidecar/requests/action_executor.py
+++ b/balancer/sidecar/requests/action_executor.py
@@ -1,4 +1,4 @@
-"""Finds the part of the sidecar that carries out an action of the policy."""
+"""Passes each action of the policy to the handler that carries it out."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
         self._handlers: dict[type[object], Callable[[Action], None]] = {}
 
     def register(self, action_type: type[ActionT], handler: Callable[[ActionT], None]) -> None:
-        """Let this handler carry out the actions of one type."""
-        # `execute` looks a handler up by the exact type of the action, so it gets no action but its own.
+        """Register the handler of the actions of one type."""
+        # The cast is safe: `execute` selects the handler by the exact type of the action.
         self._handlers[action_type] = cast(Callable[[Action], None], handler)
 
     def execute(self, action: Action) -> None:
--- a/balancer/sidecar/requests/attempt_guard.py
+++ b/balancer/sidecar/requests/attempt_guard.py
@@ -1,7 +1,8 @@
-"""The one place that says whether an attempt may start, and whether a request may be rejected.
+"""Checks whether an attempt may start and whether a request may be rejected.
 
-The policy decides by what it knows; this guard checks each attempt against the rules of the protocol and what
-the sidecar has done for the request. What only a fault of the policy can cause is counted as a violation.
+The policy decides from the events that it has seen. Only the guard can overrule it: the guard checks each
+decision against the rules of the protocol and against what the sidecar has already done for the request. A
+forbidden decision that only a bug in the policy can explain is counted as a violation of an invariant.
 """
 
 from __future__ import annotations
@@ -18,8 +19,11 @@
 from balancer.time_units import MILLISECOND_NS
 
 MAX_START_DELAY_NS = 150 * MILLISECOND_NS
-"""How much later than its decision an attempt may start before that counts as a fault: the process may be
-delayed, so a repeat that was allowed when it was decided on may be too late when it starts."""
+"""How long after the deduplication window the guard may see a retry without counting a violation.
+
+The process may be delayed between the policy's decision and its execution, so a retry that the policy decided
+within the window may be too late when it starts. The guard refuses it in either case.
+"""
 
 log = logging.getLogger(__name__)
 
@@ -28,13 +32,13 @@
     """Why an attempt may not start."""
 
     ANSWERED = "answered"
-    """The request has its final answer."""
+    """The request has its final response, or its client has disconnected."""
     IN_FLIGHT = "in_flight"
     """Another attempt of the request has not ended."""
     EXPIRED = "expired"
-    """The time of the request is over."""
+    """The deadline of the request has passed."""
     ATTEMPTS_EXHAUSTED = "attempts_exhausted"
-    """The request had as many attempts as the settings allow."""
+    """The request has had as many attempts as the settings allow."""
     RETRY_FORBIDDEN = "repeat_forbidden"
     """The request may have been executed, and the endpoint might execute it again."""
     CLIENT_DISCONNECTED = "client_left"
@@ -44,7 +48,7 @@
 class AttemptGuard:
     """Checks each attempt before it starts, and each rejection before it is sent.
 
-    `refusal` and `may_reject` are questions: they change nothing. What they forbid is recorded by
+    `refusal` and `may_reject` only check and change no state. The caller reports what they forbid with
     `record_refusal` and `record_unsafe_rejection`.
     """
 
@@ -57,7 +61,7 @@
     # ---- endpoints
 
     def update_endpoints(self, endpoints: Iterable[Endpoint], is_snapshot: bool) -> None:
-        """Record the groups of the endpoints in an endpoint update."""
+        """Store the deduplication groups of the endpoints in an endpoint update."""
         if is_snapshot:
             self._groups.clear()
         self._groups.update(
@@ -65,7 +69,7 @@
         )
 
     def group_of(self, endpoint_id: EndpointId) -> EndpointGroup | None:
-        """Return the group of an endpoint, if it is listed."""
+        """Return the deduplication group of an endpoint, or None if the endpoint is not listed."""
         return self._groups.get(endpoint_id)
 
     # ---- attempts
@@ -77,7 +81,8 @@
         if request.answered:
             return AttemptRefusal.ANSWERED
         if now_ns >= request.expires_at_ns:
-            # The policy may not know it: timers are early at times, and a shutdown brings expiry forward.
+            # The policy may not know of the expiry: the event loop may call the deadline timer early, and a
+            # shutdown brings the expiry forward.
             return AttemptRefusal.EXPIRED
         if request.attempt is not None or request.has_background_attempt:
             return AttemptRefusal.IN_FLIGHT
@@ -85,13 +90,13 @@
             return AttemptRefusal.ATTEMPTS_EXHAUSTED
         if not self._is_retry_allowed(request, endpoint_id, now_ns):
             return AttemptRefusal.RETRY_FORBIDDEN
-        # Checked last, as it costs a system call.
+        # This check is the last one because it costs a system call.
         return AttemptRefusal.CLIENT_DISCONNECTED if request.is_abandoned() else None
 
     def record_refusal(
         self, refusal: AttemptRefusal, request: InFlightRequest, endpoint_id: EndpointId, now_ns: int
     ) -> None:
-        """Count and log that an attempt was refused, which may be a violation of an invariant."""
+        """Count and log a refused attempt, and record a violation if it shows a bug in the policy."""
         self._metrics.count(Metric.ATTEMPTS_REFUSED, refusal)
         log.debug(
             "attempt_refused request=%d endpoint=%s reason=%s",
@@ -105,7 +110,7 @@
             self._record_forbidden_retry(request, endpoint_id, now_ns)
 
     def _is_retry_allowed(self, request: InFlightRequest, endpoint_id: EndpointId, now_ns: int) -> bool:
-        """Return whether what may have been executed may be sent to this endpoint, too."""
+        """Return whether this endpoint may get the request, given where it may have been executed already."""
         if not request.may_have_run:
             return True
         request_class = self._class_of(request)
@@ -118,7 +123,7 @@
     def _is_deduplicated(
         self, request: InFlightRequest, request_class: RequestClass, endpoint_id: EndpointId
     ) -> bool:
-        """Return whether this endpoint drops repeats of what the first one executed, within the window."""
+        """Return whether this endpoint would recognize the request as a duplicate, ignoring the window."""
         return is_safe_to_retry(request_class, request.executing_group, self.group_of(endpoint_id))
 
     def _record_second_attempt(self, request: InFlightRequest, endpoint_id: EndpointId) -> None:
@@ -128,7 +133,7 @@
     def _record_forbidden_retry(
         self, request: InFlightRequest, endpoint_id: EndpointId, now_ns: int
     ) -> None:
-        """Count a violation, unless the repeat was only delayed until just after its window."""
+        """Record a violation, unless the retry missed its window by less than `MAX_START_DELAY_NS`."""
         request_class = self._class_of(request)
         window_end_ns = _deduplication_end_ns(request, request_class)
         is_deduplicated = self._is_deduplicated(request, request_class, endpoint_id)
@@ -145,13 +150,13 @@
     # ---- rejections
 
     def may_reject(self, request: InFlightRequest) -> bool:
-        """Return whether a client's retry of this request, which may go to any endpoint, does no harm."""
+        """Return whether the client may safely retry this request; its retry may reach any endpoint."""
         if not request.may_have_run:
             return True
         return is_safe_to_retry(self._class_of(request), request.executing_group, None)
 
     def record_unsafe_rejection(self, request: InFlightRequest) -> None:
-        """Count a rejection that `may_reject` forbids as a violation."""
+        """Record the violation of a rejection that `may_reject` forbids."""
         detail = f"request={request.request_id} last_endpoint={format_endpoint_id(request.endpoint_id)}"
         self._metrics.record_violation(Invariant.REJECTION_HARMLESS, detail)
 
@@ -160,5 +165,5 @@
 
 
 def _deduplication_end_ns(request: InFlightRequest, request_class: RequestClass) -> int:
-    """Return until when endpoints drop repeats of a request that may have been executed."""
+    """Return the time until which endpoints drop duplicates of a request that may have been executed."""
     return request.executed_at_ns + request_class.deduplication_window_ns
--- a/balancer/sidecar/requests/attempt_runner.py
+++ b/balancer/sidecar/requests/attempt_runner.py
@@ -1,4 +1,4 @@
-"""Runs the attempts of requests at endpoints: starts, cancels and ends them, and reports how they ended."""
+"""Starts and cancels the attempts of requests, and reports their outcomes to the policy."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class AttemptRunner:
-    """Carries out what the policy decides on attempts. A request has one attempt at a time."""
+    """Carries out the policy's actions on attempts. A request has at most one attempt at a time."""
 
     def __init__(
         self,
@@ -51,7 +51,7 @@
     # ---- actions of the policy
 
     def start(self, action: StartAttempt) -> None:
-        """Start an attempt, or report at once that it has not started."""
+        """Start an attempt, or report at once that it was not sent."""
         request = self._request_registry.in_flight.get(action.request_id)
         now_ns = self._now_ns()
         if request is None or not self._may_start(request, action.endpoint_id, now_ns):
@@ -60,7 +60,8 @@
         attempt_index = request.attempt_count
         self._record_start(request, action, now_ns)
         on_completed = partial(self._on_completed, request, attempt_index)
-        # The connection may be established after this time and before the loop has called the timer.
+        # The connection may be established after the deadline but before the event loop calls the timer, so
+        # the attempt checks the time itself before it writes the request.
         start_before_ns = min(
             action.start_before_ns or request.attempt_deadline_ns, request.attempt_deadline_ns
         )
@@ -77,20 +78,20 @@
         attempt.start()
 
     def cancel(self, action: CancelAttempt) -> None:
-        """End the attempt, if it is the current one of its request."""
+        """End the attempt, unless it is no longer the current attempt of its request."""
         request = self._request_registry.in_flight.get(action.request_id)
         if request is None or request.attempt is None:
             return
         if request.attempt_count - 1 == action.attempt_index:
             request.attempt.abort(AttemptOutcome.CANCELLED)
 
-    # ---- the end of a request
+    # ---- the deadline of a request
 
     def continue_in_background(self, request: InFlightRequest) -> None:
-        """Let an attempt that was sent end by itself, but no later than at the latency objective.
+        """Let an attempt that was sent continue after the request, until the latency objective at most.
 
-        Up to the objective an answer is still likely, and keeps the connection. After it the endpoint is
-        behind, and closing the connection may spare it the work.
+        Until the objective a response is still likely, and with it the connection stays usable. After the
+        objective the endpoint is overloaded, and closing the connection may save it the work.
         """
         if request.attempt is None:
             return
@@ -108,7 +109,7 @@
     # ---- the start of an attempt
 
     def _may_start(self, request: InFlightRequest, endpoint_id: EndpointId, now_ns: int) -> bool:
-        """Return whether an attempt may start. If its client has left, the request is abandoned."""
+        """Return whether an attempt may start. Abandons the request if its client has disconnected."""
         refusal = self._guard.refusal(request, endpoint_id, now_ns)
         if refusal is None:
             return True
@@ -127,7 +128,7 @@
         request.attempt_group = self._guard.group_of(action.endpoint_id)
 
     def _record_unready_endpoint(self, action: StartAttempt) -> None:
-        """Record a violation, unless the policy has yet to see the update that made the endpoint unready."""
+        """Record a violation, unless the policy has not seen a pending update that explains its choice."""
         if not self._events.has_pending_endpoint_update():
             detail = f"request={action.request_id} endpoint={format_endpoint_id(action.endpoint_id)}"
             self._metrics.record_violation(Invariant.ENDPOINT_READY, detail)
@@ -146,8 +147,9 @@
         )
 
     def _build_payload(self, request: InFlightRequest) -> bytes:
-        """Return the message of the current attempt, which is about to be written to its connection."""
-        # The client may have left while the connection was established: the attempt ends before any byte.
+        """Return the message of the current attempt, just before it is written to its connection."""
+        # The client may have disconnected while the connection was being established. Aborting the attempt
+        # closes the connection, so no byte of the returned message is sent.
         if request.is_abandoned():
             self._disconnects.on_client_disconnected(request.request_id)
         if request.answered and request.attempt is not None:
--- a/balancer/sidecar/requests/client_disconnects.py
+++ b/balancer/sidecar/requests/client_disconnects.py
@@ -1,4 +1,4 @@
-"""Abandons the requests of clients that have left."""
+"""Abandons the requests of disconnected clients."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class ClientDisconnects:
-    """Sees to it that nothing more is sent for a request that nobody waits for."""
+    """Stops the processing of a request whose client has disconnected."""
 
     def __init__(self, request_registry: RequestRegistry, events: EventQueue, metrics: Metrics) -> None:
         self._request_registry = request_registry
@@ -17,10 +17,11 @@
         self._metrics = metrics
 
     def on_client_disconnected(self, request_id: int) -> None:
-        """Abandon a request whose client has left, unless it has its final answer.
+        """Abandon the request of a disconnected client, unless it has its final response.
 
-        An attempt that was sent goes on, as ending it would cost its connection. One that still waits for
-        its connection must not be sent, nor the rest of one that was sent in part: nobody wants the answer.
+        - An attempt that was sent completely continues, because ending it would close its connection.
+        - An attempt that still waits for a connection is not sent, because no client waits for the response.
+        - An attempt that was sent in part ends for the same reason, without sending the rest.
         """
         request = self._request_registry.mark_answered(request_id)
         if request is None:
--- a/balancer/sidecar/requests/client_request.py
+++ b/balancer/sidecar/requests/client_request.py
@@ -1,4 +1,4 @@
-"""A client's request as the sidecar has received it, and the receiver of its answer."""
+"""A client's request as the sidecar has received it, and the receiver of its final response."""
 
 from __future__ import annotations
 
@@ -8,46 +8,49 @@
 
 
 class ResponseSink(Protocol):
-    """Receives the final answer of one request: one of the first three methods is called, once."""
+    """Receives the final response to one request.
+
+    Exactly one of `send_response`, `reject` and `fail` is called, once; none if the client disconnects first.
+    """
 
     def send_response(self, response: HttpResponse) -> None:
-        """Pass on an endpoint's successful response."""
+        """Send an endpoint's successful response to the client."""
 
     def reject(self, retry_after_ns: int) -> None:
-        """Answer that the request was rejected and may be sent again.
+        """Respond that the request was rejected and is safe to retry.
 
         Args:
-            retry_after_ns: How long the client should wait before it does; 0 for no advice.
+            retry_after_ns: How long the client should wait before it retries; 0 for no advice.
         """
 
     def fail(self, timed_out: bool) -> None:
-        """Answer that the request failed, perhaps after it was executed.
+        """Respond that the request failed and may have been executed.
 
         Args:
-            timed_out: Whether it failed as its time was over.
+            timed_out: Whether it failed because its last attempt timed out.
         """
 
     def is_disconnected(self) -> bool:
-        """Return whether the client has left, or has closed its side of the connection."""
+        """Return whether the client has closed the connection or its sending side of it."""
 
 
 class ClientRequest(NamedTuple):
     """A validated request of a client."""
 
     client_request_id: bytes
-    """The client's own id of it, from its `Req-Id` header."""
+    """The id that the client gave the request in its `Req-Id` header."""
     class_index: int
-    """The position of its class in `Settings.classes`."""
+    """The position of the request's class in `Settings.classes`."""
     tenant_index: int
-    """The position of its tenant in `Settings.tenants`."""
+    """The position of the request's tenant in `Settings.tenants`."""
     key_hash: int
-    """Hash of what the request is about; 0 if it has no key."""
+    """Hash of the key in the query of the request's target; 0 if there is none."""
     timeout_ns: int
-    """How long the client waits for the answer."""
+    """How long the client waits for the response."""
     work_hint_ns: int
-    """Expected work; 0 if unknown."""
+    """The work that the request is expected to cause; 0 if unknown."""
     is_retry: bool
-    """Whether the client marked it as a retry of its own."""
+    """Whether the client marked the request as a retry."""
     head: bytes
-    """The request line and the headers to pass on, without `Req-Deadline` and the empty line."""
+    """The request line and the headers to forward, without `Req-Deadline` and the empty line."""
     body: bytes
--- a/balancer/sidecar/requests/dispatcher.py
+++ b/balancer/sidecar/requests/dispatcher.py
@@ -1,8 +1,8 @@
-"""Wires the parts that handle requests to each other, and is their interface to the rest of the sidecar.
+"""Connects the components that process requests, and is their interface to the rest of the sidecar.
 
-An event goes from `EventQueue` to `PolicyDriver`, which asks the policy and gives the actions to
-`ActionExecutor`; the parts that carry them out bring about further events. The policy makes the decisions;
-only `AttemptGuard` may overrule them.
+`EventQueue` passes each event to `PolicyDriver`, which passes it to the policy and the returned actions to
+`ActionExecutor`. The components that carry out the actions dispatch further events. The policy makes all
+decisions; only `AttemptGuard` may overrule them.
 """
 
 from __future__ import annotations
@@ -45,19 +45,19 @@
 class Dispatcher:
     """Connects the policy with the clients, the endpoints, discovery and the other sidecars.
 
-    Every request that is submitted gets exactly one final answer, unless its client leaves before.
+    Every submitted request gets exactly one final response, unless its client disconnects first.
 
     Args:
         config: The configuration of the sidecar.
-        loop: The event loop that everything runs in.
-        clock: The time that the policy sees.
-        policy: What makes the decisions; by default a `Balancer` for this configuration.
+        loop: The event loop of all components.
+        clock: The clock of all components.
+        policy: The policy that decides on each event; by default a `Balancer` for this configuration.
 
     Attributes:
-        clock: The clock of all parts.
+        clock: The clock of all components.
         metrics: The counters of the sidecar.
         upstream: The connections to the endpoints.
-        ledger: The requests in flight.
+        request_registry: The requests in flight.
         has_endpoints: Whether the endpoint list has ever been non-empty.
     """
 
@@ -116,13 +116,13 @@
 
     # ---- policy
 
-    def start(self, known: EndpointListUpdate) -> None:
-        """Start the policy with the endpoint list as it was last known."""
+    def start(self, cached_list: EndpointListUpdate) -> None:
+        """Start the policy with the last known endpoint list, which the configuration contains."""
         self.dispatch(Started())
-        self.on_endpoint_update(known, EndpointUpdateKind.CACHED)
+        self.on_endpoint_update(cached_list, EndpointUpdateKind.CACHED)
 
     def dispatch(self, event: Event) -> None:
-        """Have the policy handle an event and the actions that it decides on carried out."""
+        """Pass an event to the policy and carry out the actions that it returns."""
         self._events.dispatch(event)
 
     def execute(self, action: Action) -> None:
@@ -136,38 +136,38 @@
         return self.request_registry.is_duplicate(client_request_id)
 
     def submit(self, sink: ResponseSink, client_request: ClientRequest, waited_seconds: float = 0.0) -> int:
-        """Take a request and return its request id.
+        """Start to process a request, and return its request id.
 
-        The sink gets exactly one final answer, perhaps before this returns, unless `on_client_disconnected`
-        reports that the client left.
+        The sink gets exactly one final response, perhaps before this method returns. It gets none if
+        `on_client_disconnected` reports first that the client has disconnected.
 
         Args:
-            sink: Where the answer goes.
+            sink: The receiver of the final response.
             client_request: The request.
-            waited_seconds: How long ago the request arrived: its client's time counts from then.
+            waited_seconds: How long ago the request arrived; the client's timeout counts from then.
         """
         return self._intake.submit(sink, client_request, waited_seconds)
 
     def on_client_disconnected(self, request_id: int) -> None:
-        """Abandon a request whose client has left."""
+        """Abandon the request of a disconnected client."""
         self._disconnects.on_client_disconnected(request_id)
 
     def expire_all_within(self, seconds: float) -> None:
-        """Answer every request within this time, as the process ends then; also those still to come."""
+        """End every request within this time, also those still to come, because the process ends then."""
         self._deadlines.expire_all_within(seconds)
 
     # ---- discovery and gossip
 
     def attach_discovery(self, discovery: EndpointDiscovery) -> None:
-        """Let this client carry out what the policy asks of discovery; until then that is dropped."""
+        """Set the client that carries out the discovery actions, which are dropped until then."""
         self._housekeeping.discovery = discovery
 
     def attach_gossip(self, gossip: GossipSender) -> None:
-        """Let this transport carry messages to other sidecars; until then they are dropped."""
+        """Set the transport of messages to other sidecars, which are dropped until then."""
         self._housekeeping.gossip = gossip
 
     def on_endpoint_update(self, update: EndpointListUpdate, kind: EndpointUpdateKind) -> None:
-        """Apply a new endpoint list or a change of it."""
+        """Apply a new endpoint list or a change of the current one."""
         self.has_endpoints = self.has_endpoints or bool(update.endpoints)
         self._endpoint_updates.apply(update, kind)
 
--- a/balancer/sidecar/requests/endpoint_updates.py
+++ b/balancer/sidecar/requests/endpoint_updates.py
@@ -1,4 +1,4 @@
-"""Applies endpoint updates to the parts of the sidecar, and reports them to the policy."""
+"""Applies endpoint updates to the sidecar, and reports them to the policy."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class EndpointUpdates:
-    """Brings the connections and the attempt guard up to date before the policy sees an update."""
+    """Updates the connection pools and the attempt guard before it reports an update to the policy."""
 
     def __init__(
         self,
@@ -29,7 +29,7 @@
         self._metrics = metrics
 
     def apply(self, update: EndpointListUpdate, kind: EndpointUpdateKind) -> None:
-        """Apply a new endpoint list or a change of it."""
+        """Apply a new endpoint list or a change of the current one."""
         is_snapshot = kind != EndpointUpdateKind.DELTA
         self._upstream.update_endpoints(update.endpoints, is_snapshot)
         if is_snapshot:
--- a/balancer/sidecar/requests/event_queue.py
+++ b/balancer/sidecar/requests/event_queue.py
@@ -1,4 +1,4 @@
-"""The events that wait for the policy."""
+"""The queue of events that the policy has not handled yet."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 
 
 class EventQueue:
-    """Hands one event at a time to a handler.
+    """Passes one event at a time to a handler.
 
-    An event that is dispatched while another is being handled waits until the handler has returned: all
-    actions that answer one event are carried out before the next event is handled.
+    An event that is dispatched while another is being handled waits until the handler has returned. So all
+    actions that an event leads to are carried out before the next event is handled.
 
     Args:
-        handle: Handles one event. It must not raise.
+        handle: The handler of one event. It must not raise an exception.
     """
 
     def __init__(self, handle: Callable[[Event], None]) -> None:
@@ -36,5 +36,5 @@
             self._is_dispatching = False
 
     def has_pending_endpoint_update(self) -> bool:
-        """Return whether an endpoint update waits that the policy has not seen."""
+        """Return whether an endpoint update is queued that the policy has not seen."""
         return any(isinstance(event, EndpointUpdate) for event in self._events)
--- a/balancer/sidecar/requests/final_answers.py
+++ b/balancer/sidecar/requests/final_answers.py
@@ -1,4 +1,7 @@
-"""Gives each request its final answer."""
+"""Sends the final response to each request.
+
+The module keeps its name because its log lines carry it, as the name of their logger.
+"""
 
 from __future__ import annotations
 
@@ -17,18 +20,18 @@
 
 
 class FinalResponseKind(StrEnum):
-    """The kinds of final answers."""
+    """The kinds of final responses."""
 
     SERVED = "served"
     """An endpoint's successful response."""
     REJECTED = "rejected"
-    """The client may send the request again without harm."""
+    """The client may safely retry the request."""
     FAILED = "failed"
     """The request may have been executed."""
 
 
 class FinalResponses:
-    """Answers each request once; an answer to a request that is owed none is dropped."""
+    """Sends one final response to each request, and drops any further one."""
 
     def __init__(self, request_registry: RequestRegistry, guard: AttemptGuard, metrics: Metrics) -> None:
         self._request_registry = request_registry
@@ -36,13 +39,13 @@
         self._metrics = metrics
 
     def serve(self, request: InFlightRequest, response: HttpResponse) -> None:
-        """Pass on an endpoint's successful response. The attempt that brought it has yet to be forgotten."""
+        """Send an endpoint's successful response. The caller removes the finished request afterwards."""
         if self._request_registry.mark_answered(request.request_id) is not None:
             self._metrics.count(Metric.RESPONSES, FinalResponseKind.SERVED)
             request.response_sink.send_response(response)
 
     def reject(self, action: RejectRequest) -> None:
-        """Reject a request; one that must not be sent again fails instead."""
+        """Reject a request, or fail it if the client could not safely retry it."""
         request = self._request_registry.mark_answered(action.request_id)
         if request is None:
             return
@@ -55,7 +58,7 @@
             self._send_failure(request)
 
     def fail(self, action: FailRequest) -> None:
-        """Answer that a request failed, perhaps after it was executed."""
+        """Respond that a request failed and may have been executed."""
         request = self._request_registry.mark_answered(action.request_id)
         if request is not None:
             self._send_failure(request)
@@ -65,14 +68,14 @@
         request.response_sink.fail(request.last_outcome == AttemptOutcome.TIMEOUT)
         self._request_registry.remove_if_finished(request)
 
-    def _record(self, request: InFlightRequest, answer: FinalResponseKind) -> None:
-        """Count an answer of the sidecar's own and log why it was given."""
-        self._metrics.count(Metric.RESPONSES, answer)
+    def _record(self, request: InFlightRequest, kind: FinalResponseKind) -> None:
+        """Count a response that the sidecar itself generated, and log the facts behind it."""
+        self._metrics.count(Metric.RESPONSES, kind)
         log.debug(
             "request_answered request=%d answer=%s client_request_id=%r attempts=%d last_endpoint=%s"
             " last_outcome=%s may_have_run=%s",
             request.request_id,
-            answer,
+            kind,
             request.client_request.client_request_id,
             request.attempt_count,
             format_endpoint_id(request.endpoint_id),
--- a/balancer/sidecar/requests/housekeeping_actions.py
+++ b/balancer/sidecar/requests/housekeeping_actions.py
@@ -26,13 +26,13 @@
 
 
 class HousekeepingActions:
-    """Passes each action on to the part that it is meant for.
+    """Passes each action to the component that carries it out.
 
-    Discovery and gossip start after the policy; what it asks of them before they are attached is dropped.
+    Discovery and gossip start after the policy. Actions for them are dropped until they are attached.
 
     Attributes:
-        discovery: Carries out what the policy asks of discovery.
-        gossip: Carries messages to other sidecars.
+        discovery: Carries out the discovery actions; None until discovery is attached.
+        gossip: Sends messages to other sidecars; None until gossip is attached.
     """
 
     def __init__(
@@ -50,7 +50,7 @@
         self._start_times = start_times
 
     def register_handlers(self, executor: ActionExecutor) -> None:
-        """Register the handlers of these actions."""
+        """Register the handlers of these actions with an executor."""
         executor.register(SetTimer, self._set_timer)
         executor.register(StartHealthCheck, self._start_health_check)
         executor.register(CloseIdleConnections, self._close_idle_connections)
@@ -60,11 +60,12 @@
         executor.register(WriteLog, self._write_log)
 
     def _set_timer(self, action: SetTimer) -> None:
-        # The policy has any number of timers at once and never cancels one.
+        # The policy may set any number of timers at once, and never cancels one, so none is stored.
         self._loop.call_later(action.delay_ns / SECOND_NS, self._on_policy_timer, TimerFired(action.token))
 
     def _on_policy_timer(self, event: TimerFired) -> None:
-        self._start_times.observe_wall_clock()  # the policy's cycle is short enough to see each step
+        # The timer of the policy's control cycle fires often enough to notice each step of the wall clock.
+        self._start_times.observe_wall_clock()
         self._events.dispatch(event)
 
     def _start_health_check(self, action: StartHealthCheck) -> None:
--- a/balancer/sidecar/requests/in_flight_request.py
+++ b/balancer/sidecar/requests/in_flight_request.py
@@ -1,4 +1,4 @@
-"""The state of one request that is in flight."""
+"""The state of one request in flight."""
 
 from __future__ import annotations
 
@@ -14,51 +14,51 @@
 
 @dataclass(slots=True, eq=False)
 class InFlightRequest:
-    """A request that is owed its final answer or still has an attempt in flight."""
+    """A request whose final response is pending or that still has an attempt in flight."""
 
     request_id: int
     response_sink: ResponseSink
     client_request: ClientRequest
     expires_at_ns: int
-    """When the request fails if it is still unanswered; may be brought forward."""
+    """The time at which the request fails if it is still unanswered; a shutdown may bring it forward."""
     deadline_timer: OneShotTimer
-    """Runs until the request expires."""
+    """Fires when the request expires."""
     attempt_timer: OneShotTimer
-    """Runs until the current attempt times out, if that is before the request expires."""
+    """Fires when the current attempt times out; runs only if that is before the request expires."""
     answered: bool = False
-    """Whether the final answer was given, or the client left and is owed none."""
+    """Whether no response is pending: the final one was sent, or the client has disconnected."""
     attempt: Attempt | None = None
     """The current attempt."""
     has_background_attempt: bool = False
-    """Whether an attempt goes on although the time of the request is over."""
+    """Whether an attempt continues although the deadline of the request has passed."""
     attempt_count: int = 0
-    """How many attempts were started."""
+    """The number of attempts that were started."""
     attempt_started_at_ns: int = 0
-    """When the last attempt was started."""
+    """The time at which the last attempt was started."""
     attempt_deadline_ns: int = 0
-    """When the last attempt times out."""
+    """The time at which the last attempt times out."""
     endpoint_id: EndpointId = b""
     """The endpoint of the last attempt."""
     last_outcome: AttemptOutcome | None = None
     """The outcome of the last attempt that ended."""
     attempt_group: EndpointGroup | None = None
-    """The group of the endpoint of the last attempt, if it was listed."""
+    """The deduplication group of the endpoint of the last attempt, if the endpoint was listed."""
     may_have_run: bool = False
-    """Whether any attempt so far may have been executed."""
+    """Whether the endpoint of any attempt so far may have executed the request."""
     executed_at_ns: int = 0
-    """When the first such attempt was started."""
+    """The time at which the first such attempt was started."""
     executing_group: EndpointGroup | None = None
-    """The group of the endpoint of that attempt."""
+    """The deduplication group of the endpoint of that attempt."""
 
     @property
     def is_finished(self) -> bool:
-        """Whether nothing is left to do: no answer is owed and no attempt is in flight."""
+        """Whether nothing is left to do: no response is pending and no attempt is in flight."""
         return self.answered and self.attempt is None and not self.has_background_attempt
 
     def is_abandoned(self) -> bool:
-        """Return whether the client has left although it is owed an answer; this asks the client's socket.
+        """Return whether the response is pending but the client has disconnected, according to its socket.
 
-        Asked before an attempt is sent, as the event loop may not have reported the disconnect yet.
+        Checked before an attempt is sent, because the event loop may not have reported the disconnect yet.
         """
         return not self.answered and self.response_sink.is_disconnected()
 
@@ -74,8 +74,8 @@
         self.executing_group = self.attempt_group
 
     def encode(self, now_ns: int) -> bytes:
-        """Return the HTTP message of the current attempt, with the time that is left for it."""
-        # Shutdown may bring the expiry of the request forward after the attempt has started.
+        """Return the HTTP message of the current attempt, whose `Req-Deadline` is the time left for it."""
+        # A shutdown may bring the expiry of the request forward after the attempt has started.
         deadline_ns = min(self.attempt_deadline_ns, self.expires_at_ns)
         seconds_left = max(0, deadline_ns - now_ns) / SECOND_NS
         head, body = self.client_request.head, self.client_request.body
--- a/balancer/sidecar/requests/interfaces.py
+++ b/balancer/sidecar/requests/interfaces.py
@@ -1,6 +1,7 @@
-"""The interfaces between the dispatcher and the parts that it drives.
+"""The interfaces that the request-processing components use.
 
-Each part implements its protocol by structure alone, so the dispatcher imports none of them.
+The implementing classes match their protocol by structure alone (see `typing.Protocol`), so the users of an
+interface need not import them.
 """
 
 from __future__ import annotations
@@ -12,29 +13,29 @@
 
 
 class Policy(Protocol):
-    """Makes the decisions."""
+    """Decides which actions the sidecar takes in response to each event."""
 
     def handle(self, now_ns: int, event: Event) -> Sequence[Action]:
-        """Return the actions that answer this event, to be carried out in their order.
+        """Return the actions that follow from this event, in the order in which they are carried out.
 
         Args:
             now_ns: The time of the event in nanoseconds since the Unix epoch.
-            event: What happened.
+            event: The event.
         """
 
 
 class AttemptEvents(Protocol):
-    """What the runner of attempts needs of the event queue."""
+    """The part of the event queue that `AttemptRunner` uses."""
 
     def dispatch(self, event: AttemptCompleted, /) -> None:
-        """Report to the policy how an attempt has ended."""
+        """Report the outcome of an attempt to the policy."""
 
     def has_pending_endpoint_update(self) -> bool:
-        """Return whether an endpoint update waits that the policy has not seen."""
+        """Return whether an endpoint update is queued that the policy has not seen."""
 
 
 class EndpointDiscovery(Protocol):
-    """Carries out what the policy asks of discovery."""
+    """Carries out the policy's discovery actions."""
 
     def set_watching(self, enabled: bool) -> None:
         """Start or stop watching for changes of the endpoint list."""
@@ -44,7 +45,7 @@
 
 
 class GossipSender(Protocol):
-    """Carries messages to other sidecars."""
+    """Sends messages to other sidecars."""
 
     def send(self, recipient_index: int, payload: bytes) -> None:
-        """Send a message to the sidecar with this index, or to all of them if it is negative."""
+        """Send a message to the sidecar with this index, or to all other sidecars if it is negative."""
--- a/balancer/sidecar/requests/policy_driver.py
+++ b/balancer/sidecar/requests/policy_driver.py
@@ -1,4 +1,4 @@
-"""Gives events to the policy and has the actions that it returns carried out."""
+"""Passes events to the policy and its actions to the executor, and isolates their failures."""
 
 from __future__ import annotations
 
@@ -14,12 +14,15 @@
 
 
 class PolicyDriver:
-    """Confines a fault of the policy to its event, and a fault in an action to that action.
+    """Runs the policy on each event and carries out the actions that it returns.
+
+    An exception in the policy affects only the event that raised it, and an exception in an action only that
+    action. Both are logged.
 
     Args:
-        policy: Makes the decisions.
+        policy: The policy.
         executor: Carries out the actions.
-        now_ns: The sidecar's clock, which gives each event its time.
+        now_ns: The sidecar's clock, which gives the time of each event.
     """
 
     def __init__(self, policy: Policy, executor: ActionExecutor, now_ns: Callable[[], int]) -> None:
@@ -28,11 +31,11 @@
         self._now_ns = now_ns
 
     def handle(self, event: Event) -> None:
-        """Have the policy decide on an event, and carry out its actions in their order."""
+        """Pass an event to the policy, and carry out the actions that it returns in their order."""
         try:
             actions = self._policy.handle(self._now_ns(), event)
         except Exception as error:
-            # A fault in one decision must not take the others down. Its request fails at the deadline.
+            # A failed decision must not affect other requests. Its own request fails at the deadline.
             log.exception(
                 "policy_failed event=%s request=%s endpoint=%s error=%s",
                 type(event).__name__,
@@ -45,7 +48,7 @@
             self._execute(action)
 
     def _execute(self, action: Action) -> None:
-        """Carry out an action; a fault in one must not keep the others from being carried out."""
+        """Carry out an action; its failure must not prevent the actions after it."""
         try:
             self._executor.execute(action)
         except Exception as error:
--- a/balancer/sidecar/requests/request_deadlines.py
+++ b/balancer/sidecar/requests/request_deadlines.py
@@ -1,4 +1,4 @@
-"""The deadline of each request, and the one that the shutdown of the sidecar sets for all of them."""
+"""The deadline of each request, and the common deadline that a shutdown of the sidecar sets."""
 
 from __future__ import annotations
 
@@ -18,14 +18,20 @@
 from balancer.time_units import MILLISECOND_NS, SECOND_NS
 
 MAX_DEADLINE_MARGIN_NS = 10 * MILLISECOND_NS
-"""A request expires this long before its client gives up: for loop lag and the way back."""
+"""How long before the client's timeout a request expires.
+
+The margin covers delays of the event loop and the transfer of the response to the client.
+"""
 
 MAX_DEADLINE_MARGIN_SHARE = 0.1
-"""The largest share of a client's timeout that the margin takes; of a short one, little would be left."""
+"""The largest fraction of the client's timeout that the margin takes.
+
+Without this limit, the margin would leave little of a short timeout for the request itself.
+"""
 
 
 class RequestDeadlines:
-    """Ends each request when its time is over, so that none is lost."""
+    """Ends each request at its deadline, so that every client gets a response."""
 
     def __init__(
         self,
@@ -47,7 +53,7 @@
         self._shutdown_timer = OneShotTimer(loop)
 
     def expires_at_ns(self, client_timeout_ns: int, now_ns: int) -> int:
-        """Return when a request expires whose client waits this much longer."""
+        """Return the time at which a request expires whose client waits for this time from now."""
         largest_margin_ns = int(client_timeout_ns * MAX_DEADLINE_MARGIN_SHARE)
         margin_ns = max(0, min(MAX_DEADLINE_MARGIN_NS, largest_margin_ns))
         deadline_ns = now_ns + client_timeout_ns - margin_ns
@@ -56,12 +62,12 @@
         return min(deadline_ns, self._shutdown_deadline_ns)
 
     def start(self, request: InFlightRequest, now_ns: int) -> None:
-        """Start the deadline timer of a request that has just been entered."""
+        """Start the deadline timer of a new request."""
         delay_seconds = max(0, request.expires_at_ns - now_ns) / SECOND_NS
         request.deadline_timer.start(delay_seconds, partial(self._on_deadline, request))
 
     def expire_all_within(self, seconds: float) -> None:
-        """Answer every request within this time, as the process ends then; also those still to come."""
+        """End every request within this time, also those still to come, because the process ends then."""
         self._shutdown_deadline_ns = self._now_ns() + int(seconds * SECOND_NS)
         for request in self._request_registry.in_flight.values():
             request.expires_at_ns = min(request.expires_at_ns, self._shutdown_deadline_ns)
@@ -74,17 +80,17 @@
                 self._on_deadline(request)
 
     def _on_deadline(self, request: InFlightRequest) -> None:
-        # The loop rounds its timers to milliseconds and may call early. The request expires all the same, or
-        # a further attempt could start beside the one that goes on in the background.
+        # The event loop rounds its timers to milliseconds and may call this early. The request expires now in
+        # any case; otherwise another attempt could start beside the one that continues in the background.
         request.expires_at_ns = min(request.expires_at_ns, self._now_ns())
         self._attempts.continue_in_background(request)
         if not request.answered:
             self._fail_unanswered(request)
 
     def _fail_unanswered(self, request: InFlightRequest) -> None:
-        """Fail a request that the policy should have answered when its attempt ended.
+        """Fail a request that the policy should have answered at the deadline, and record a violation.
 
-        Whatever kept the policy from it, no request is lost.
+        The client gets a response whatever the reason for the policy's failure is.
         """
         detail = (
             f"request={request.request_id} last_endpoint={format_endpoint_id(request.endpoint_id)} "
--- a/balancer/sidecar/requests/request_intake.py
+++ b/balancer/sidecar/requests/request_intake.py
@@ -1,4 +1,4 @@
-"""Takes valid requests from clients."""
+"""Accepts valid requests of clients for processing."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class RequestIntake:
-    """Enters each request into the ledger, starts its deadline and reports it to the policy."""
+    """Adds each request to the registry, starts its deadline timer and reports it to the policy."""
 
     def __init__(
         self,
@@ -31,7 +31,7 @@
         self._metrics = metrics
 
     def submit(self, sink: ResponseSink, client_request: ClientRequest, waited_seconds: float) -> int:
-        """Take a request that arrived this long ago, and return its request id."""
+        """Start to process a request that arrived this long ago, and return its request id."""
         now_ns = self._now_ns()
         timeout_ns = client_request.timeout_ns - int(waited_seconds * SECOND_NS)
         expires_at_ns = self._deadlines.expires_at_ns(timeout_ns, now_ns)
--- a/balancer/sidecar/requests/request_registry.py
+++ b/balancer/sidecar/requests/request_registry.py
@@ -1,4 +1,4 @@
-"""The requests in flight, and the ids of requests that a client may not send again."""
+"""The requests in flight, and the ids of executed requests that a client must not send again."""
 
 from __future__ import annotations
 
@@ -12,14 +12,15 @@
 
 
 class RequestRegistry:
-    """Keeps each request until it is finished, and detects duplicates of requests.
+    """Stores each request until it is finished, and detects duplicate requests.
 
-    A client whose answer is lost with its connection may send its request again under the same id. While the
-    first is in flight, or if it may have been executed and is not idempotent, the second must not be sent to
-    an endpoint. Ids are remembered until the client of any request must have given up.
+    A client that loses its connection before the response arrives may retry the request under the same id.
+    The retry must not be sent to an endpoint while the first request is in flight, nor if the first one may
+    have been executed and is not idempotent. The registry stores the ids of executed requests for the longest
+    client timeout of any class, as every client has given up by then.
 
     Args:
-        settings: The settings of the instance.
+        settings: The settings of the sidecar.
         loop: The event loop of the requests' timers.
         now_ns: The sidecar's clock.
     """
@@ -38,12 +39,12 @@
         self.in_flight: dict[int, InFlightRequest] = {}
         """Every request that is not finished, by its request id."""
         self.executed_ids_expire_at_ns: dict[bytes, int] = {}
-        """Client request ids that may have been executed and must not be again, oldest first."""
+        """The ids of requests that must not be executed again, and when each expires; oldest first."""
 
     def add(
         self, response_sink: ResponseSink, client_request: ClientRequest, expires_at_ns: int
     ) -> InFlightRequest:
-        """Enter a request under the next request id."""
+        """Add a request under the next request id."""
         self._last_request_id += 1
         request = InFlightRequest(
             self._last_request_id,
@@ -62,7 +63,10 @@
         return self._classes[request.client_request.class_index]
 
     def mark_answered(self, request_id: int) -> InFlightRequest | None:
-        """Return the request if it is still owed its final answer, which the caller gives now; else None."""
+        """Mark a request as answered and return it; None if no response is pending.
+
+        The caller then sends the final response, or reports that the client has disconnected.
+        """
         request = self.in_flight.get(request_id)
         if request is None or request.answered:
             return None
@@ -70,7 +74,7 @@
         return request
 
     def remove_if_finished(self, request: InFlightRequest) -> None:
-        """Drop the request if it is finished, and remember its id where a repeat would do harm."""
+        """Remove a finished request, and store its id if the client must not retry it."""
         if not request.is_finished:
             return
         request.deadline_timer.cancel()
