--- a/balancer/sidecar/requests/retry_safety.py
+++ b/balancer/sidecar/requests/retry_safety.py
@@ -22,7 +22,7 @@
 
 
 def is_safe_to_retry(
-    request_class: RequestClass, executing_group: EndpointGroup | None, retry_group: EndpointGroup | None
+    request_class: RequestClass, first_group: EndpointGroup | None, second_group: EndpointGroup | None
 ) -> bool:
     """Return whether a request that may have been executed is safe to retry.
 
@@ -30,24 +30,24 @@
 
     Args:
         request_class: The class of the request.
-        executing_group: The group of the endpoint that may have executed it; None if it is unknown.
-        retry_group: The group of the endpoint that gets the retry; None if it could be any endpoint.
+        first_group: The group of the endpoint that may have executed it; None if it is unknown.
+        second_group: The group of the endpoint that gets the retry; None if it could be any endpoint.
     """
     if request_class.idempotency == Idempotency.IDEMPOTENT:
         return True
     if request_class.idempotency != Idempotency.IDEMPOTENCY_KEY:
         return False
-    return _share_deduplication(request_class.deduplication_scope, executing_group, retry_group)
+    return _share_deduplication(request_class.deduplication_scope, first_group, second_group)
 
 
 def _share_deduplication(
-    scope: DeduplicationScope, executing_group: EndpointGroup | None, retry_group: EndpointGroup | None
+    scope: DeduplicationScope, first_group: EndpointGroup | None, second_group: EndpointGroup | None
 ) -> bool:
     """Return whether endpoints of one group drop duplicates of requests that the other group has executed."""
     if scope == DeduplicationScope.ALL:
         return True
-    if executing_group is None or retry_group is None:
+    if first_group is None or second_group is None:
         return False
-    if executing_group.zone != retry_group.zone:
+    if first_group.zone != second_group.zone:
         return False
-    return scope == DeduplicationScope.ZONE or executing_group.cell == retry_group.cell
+    return scope == DeduplicationScope.ZONE or first_group.cell == second_group.cell
--- a/balancer/sidecar/upstream/__init__.py
+++ b/balancer/sidecar/upstream/__init__.py
@@ -1,1 +1,1 @@
-"""The side of the sidecar that faces the account servers: connections, attempts and health checks."""
+"""The sidecar's communication with the account servers: connections, attempts and health checks."""
--- a/balancer/sidecar/upstream/attempt.py
+++ b/balancer/sidecar/upstream/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt to have a request answered by one endpoint."""
+"""One attempt to send a request to an endpoint and to receive its response."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 from balancer.time_units import SECOND_NS
 
 CompletionCallback: TypeAlias = Callable[[AttemptOutcome, HttpResponse | None], None]
-"""Gets the outcome of an attempt, and the response if there is one."""
+"""Is called with the outcome of an attempt, and with the response if there is one."""
 
 log = logging.getLogger(__name__)
 
@@ -28,64 +28,70 @@
 class AttemptState(Enum):
     """The state of an attempt.
 
-    Attempts that are DETACHED or IN_BACKGROUND have reported their outcome, and are held by the connection
-    provider. `Attempt.abort` leads to ENDED from every state, at once.
+    An attempt that is DETACHED or IN_BACKGROUND has reported its outcome, and is in the `background_attempts`
+    of the connection provider. `Attempt.abort` changes every state to ENDED at once.
     """
 
     NEW = auto()
-    """Not started.
+    """The attempt is not started.
 
-    `start` writes the request to an idle connection (IN_FLIGHT), or else waits for a connection (CONNECTING),
-    or else ends the attempt, as no further connection may be opened.
+    `start` does one of the following:
+
+    - It writes the request to an idle connection (IN_FLIGHT).
+    - If there is none, it waits for a connection (CONNECTING).
+    - If no connection may be opened either, it ends the attempt.
     """
     CONNECTING = auto()
-    """A task waits until the reuse delay of a used connection is over, or a new connection is established.
+    """A task waits for the reuse delay of a used connection, or for a new connection.
 
-    With the connection the request is written (IN_FLIGHT). The attempt ends if there is none, if it is too
-    late, or if the endpoint accepts no new requests any more. `end_unless_sent`, `expire` and
-    `continue_in_background` report that nothing was sent (DETACHED).
+    - When the task has a connection, it writes the request to it (IN_FLIGHT).
+    - The attempt ends if the task gets no connection, if `start_before_ns` has passed, or if the endpoint no
+      longer accepts new requests.
+    - `end_unless_sent`, `expire` and `continue_in_background` report that nothing was sent (DETACHED).
     """
     DETACHED = auto()
-    """The outcome is reported while the connection is still being established.
+    """The outcome is reported, but the connection is still being established.
 
-    The connection goes to the pool, which ends the attempt.
+    The attempt ends when the connection is established, which then goes to the pool, or when that fails.
     """
     IN_FLIGHT = auto()
-    """The request is written, or a part of it.
+    """The request is written to the connection, but a part of it may be unsent.
 
-    A response, the loss of the connection or `expire` ends the attempt. So does the time `start_before_ns` if
-    a part of the request is still unsent by then. `continue_in_background` reports a timeout (IN_BACKGROUND),
-    or ends the attempt if a part is unsent or no time is left.
+    - A response, the loss of the connection or `expire` ends the attempt.
+    - The attempt also ends at `start_before_ns` if a part of the request is still unsent then.
+    - `continue_in_background` reports a timeout (IN_BACKGROUND). It ends the attempt if a part of the request
+      is unsent or no time is left.
     """
     IN_BACKGROUND = auto()
-    """The outcome is reported, but the connection is kept for a limited time.
+    """The outcome is reported, but the connection stays open for a limited time.
 
-    The response may still come and leave the connection fit for the next request. The response, the loss of
-    the connection or the end of the time ends the attempt.
+    If the response arrives in this time, the connection can be used for the next request. The response, the
+    loss of the connection or the end of the time ends the attempt.
     """
     ENDED = auto()
-    """The attempt holds nothing any more."""
+    """The attempt holds no connection, task or timer."""
 
 
 _UNREPORTED_STATES = (AttemptState.IN_FLIGHT, AttemptState.CONNECTING, AttemptState.NEW)
-"""States before the outcome is reported.
+"""The states in which the outcome is not reported yet.
 
-A tuple, which is searched by identity: the hash of an enum member is computed in Python.
+It is a tuple, not a set, because a tuple is searched by identity. A set needs the hash of the enum member,
+which is computed in Python.
 """
 
 
 class Attempt:
-    """A request on its way to an endpoint. Its states and their transitions are those of `AttemptState`.
+    """One attempt at an endpoint. `AttemptState` describes its states and their transitions.
 
     Args:
-        provider: the owner of all connections.
-        pool: the pool of the endpoint.
-        build_payload: returns the request; called just before it is written.
-        on_completed: called exactly once, with the outcome and the response if there is one. The outcome is
-            the one passed to `abort`. If the attempt ends otherwise and nothing of the request was written,
-            the outcome is one of a request that was never executed.
-        start_before_ns: the time, by the provider's clock, after which the request is not written any more;
-            0: no limit.
+        provider: The owner of all connections.
+        pool: The connection pool of the endpoint.
+        build_payload: Returns the request. It is called just before the request is written.
+        on_completed: Is called exactly once, with the outcome and with the response if there is one. After
+            `abort` the outcome is the one passed to it. If the attempt ends in another way and nothing of the
+            request was written, the outcome is one of `OUTCOMES_NEVER_EXECUTED`.
+        start_before_ns: The end of the start window: the time, by the provider's clock, from which on the
+            request is no longer written; 0 for no limit.
     """
 
     __slots__ = (
@@ -120,7 +126,7 @@
         self._connection: OutboundConnection | None = None
         """Set while IN_FLIGHT or IN_BACKGROUND."""
         self._unsent_timer: OneShotTimer | None = None
-        """Set if a part of the request was unsent at first, which is the case for few attempts."""
+        """Set if a part of the request was unsent after it was written, which is rare."""
         self._background: BackgroundContinuation | None = None
         """Set while IN_BACKGROUND."""
 
@@ -130,7 +136,7 @@
         return self._state
 
     def start(self) -> None:
-        """Write the request to an idle connection, or begin to wait for a connection."""
+        """Write the request to an idle connection, or start to wait for a connection."""
         provider = self._provider
         connection = self._pool.acquire(provider.now_ns())
         if connection is not None:
@@ -141,11 +147,11 @@
             self._state = AttemptState.CONNECTING
             self._connect_task = provider.loop.create_task(self._connect_and_send(reuse_delay_seconds))
         else:
-            # The limit on connections is the sidecar's own: it says nothing of the endpoint.
+            # The limit on connections is the sidecar's own, so this must not count against the endpoint.
             self._end(AttemptOutcome.NOT_SENT)
 
     def abort(self, outcome: AttemptOutcome) -> None:
-        """End the attempt with this outcome, closing its connection before it is reported."""
+        """Close the connection, end the attempt and report this outcome, unless one was reported before."""
         if self._connect_task is not None:
             self._connect_task.cancel()
         if self._connection is not None:
@@ -153,10 +159,10 @@
         self._end(outcome)
 
     def end_unless_sent(self) -> bool:
-        """End the attempt unless its request was sent completely. Returns whether it is ended or detached.
+        """End the attempt unless its request was sent completely. Returns whether it ended or is detached.
 
-        The pool gets a connection that is still being established. If a part of the request was sent, the
-        connection is closed: otherwise the rest would be sent whenever the endpoint continues to read.
+        A connection that is still being established goes to the pool. If only a part of the request was sent,
+        the connection is closed. Otherwise the rest would be sent whenever the endpoint continues to read.
         """
         if self._connect_task is not None:
             self._detach()
@@ -167,20 +173,20 @@
         return False
 
     def expire(self) -> None:
-        """End the attempt, as its timeout is over."""
+        """End the attempt because its timeout has passed."""
         if not self.end_unless_sent():
             self.abort(AttemptOutcome.TIMEOUT)
 
     def continue_in_background(self, seconds: float, on_released: Callable[[], None]) -> None:
-        """Report a timeout, but keep the connection if the response comes within this time.
+        """Report a timeout, but keep the connection if the response arrives within this time.
 
-        Closing the connection would cost the endpoint a handshake, which is about the work of a request, and
-        the next request the time of it. A request that was not sent completely is never executed: its attempt
-        ends with an outcome that does not count against the endpoint.
+        If the connection were closed, a new handshake would be necessary. It costs the endpoint about as much
+        work as a request, and it delays the next request. A request that was not sent completely is never
+        executed, so its attempt ends with an outcome that does not count against the endpoint.
 
         Args:
-            seconds: the time; without any the attempt ends now.
-            on_released: called once nothing of the attempt is in flight any more.
+            seconds: How long to wait for the response. If it is not positive, the attempt ends now.
+            on_released: Is called once nothing of the attempt is in flight any more.
         """
         if self._state is AttemptState.IN_FLIGHT and seconds > 0 and not self._has_unsent_bytes:
             if self._unsent_timer is not None:
@@ -216,7 +222,7 @@
         except ConnectError as error:
             failure_outcome = error.attempt_outcome
         except Exception:
-            # Whatever the error is, the request must not wait for an attempt that will never end.
+            # The attempt has to end after any error; otherwise its request would wait until its deadline.
             host, port = self._pool.address
             endpoint = self._pool.endpoint_id.hex()
             log.exception("connect_failed_unexpectedly address=%s:%d endpoint=%s", host, port, endpoint)
@@ -236,7 +242,7 @@
 
     def _use_connection(self, connection: OutboundConnection) -> None:
         if not self._pool.is_ready:
-            # The endpoint began to drain or was removed during the connect: it accepts no new requests.
+            # The endpoint began to drain or was removed during the connect, so it accepts no new requests.
             connection.close()
             self._end(AttemptOutcome.CONNECT_FAILED)
         elif self._start_before_ns and self._provider.now_ns() >= self._start_before_ns:
@@ -254,7 +260,7 @@
     def _send(self, connection: OutboundConnection) -> None:
         self._state = AttemptState.IN_FLIGHT
         self._connection = connection
-        # The owner of the payload may abort the attempt here. The closed connection then sends nothing.
+        # `_build_payload` may abort the attempt. The closed connection then sends nothing.
         payload = self._build_payload()
         if not connection.send(payload, self._on_response):
             self._end(AttemptOutcome.CONNECT_FAILED)
@@ -269,13 +275,13 @@
     # ---- deadlines
 
     def _start_unsent_timer(self) -> None:
-        """End the attempt when its start window is over, unless the rest of the request is sent by then."""
+        """Start a timer that ends the attempt if a part of the request is unsent at `start_before_ns`."""
         remaining_ns = max(0, self._start_before_ns - self._provider.now_ns())
         self._unsent_timer = OneShotTimer(self._provider.loop)
         self._unsent_timer.start(remaining_ns / SECOND_NS, self._on_start_window_over)
 
     def _on_start_window_over(self) -> None:
-        """End the attempt if a part of the request is unsent when it would be too late even to start."""
+        """End the attempt at `start_before_ns` if a part of the request is still unsent."""
         if self._has_unsent_bytes:
             self.abort(AttemptOutcome.NOT_SENT)
 
@@ -285,7 +291,7 @@
     # ---- the end
 
     def _end(self, outcome: AttemptOutcome, response: HttpResponse | None = None) -> None:
-        """Release what the attempt holds, and report the outcome unless one was reported before."""
+        """Release all resources of the attempt, and report the outcome unless one was reported before."""
         is_unreported = self._state in _UNREPORTED_STATES
         background = self._background
         self._state = AttemptState.ENDED
--- a/balancer/sidecar/upstream/background_continuation.py
+++ b/balancer/sidecar/upstream/background_continuation.py
@@ -1,4 +1,4 @@
-"""The continuation of an attempt whose outcome is reported, for the sake of its connection."""
+"""The continuation of an attempt whose outcome is reported, in order to keep its connection open."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
     """Limits the time of an attempt that continues in the background, and reports when it ends.
 
     Args:
-        loop: the event loop.
-        on_released: called once nothing of the attempt is in flight any more.
+        loop: The event loop.
+        on_released: Is called once nothing of the attempt is in flight any more.
     """
 
     __slots__ = ("_on_released", "_timer")
@@ -23,7 +23,7 @@
         self._on_released = on_released
 
     def start(self, seconds: float, on_timeout: Callable[[], None]) -> None:
-        """Call `on_timeout` after this time, unless the continuation ends before."""
+        """Call `on_timeout` after this time, unless the continuation ends earlier."""
         self._timer.start(seconds, on_timeout)
 
     def end(self) -> None:
--- a/balancer/sidecar/upstream/connection_acquisition.py
+++ b/balancer/sidecar/upstream/connection_acquisition.py
@@ -1,4 +1,4 @@
-"""Acquires the connection of an attempt that has found no idle one that is ready."""
+"""Acquires a connection for an attempt that has found no idle connection ready for use."""
 
 from __future__ import annotations
 
@@ -18,25 +18,28 @@
 from balancer.time_units import SECOND_NS
 
 TIMER_RESOLUTION_SECONDS = 0.001
-"""Added to a delay that must not end early, in seconds: the event loop rounds its timers to milliseconds."""
+"""Extra time for a delay that must not end early; the event loop rounds its timers to milliseconds."""
 
 MAX_SLEEPS = 3
-"""Most sleeps for one delay; each may end up to 1.5 ms early, as delay and loop time are rounded."""
+"""The maximum number of sleeps for one delay.
+
+One sleep may end up to 1.5 ms early, because its delay and the loop's time are rounded.
+"""
 
 MAX_SHORTAGE_RETRIES = 5
-"""Retries of a connect while this machine is short of a resource, which may be free again soon."""
+"""How often a connect is retried while this machine is short of a resource, which may be free again soon."""
 
 SHORTAGE_RETRY_DELAY_SECONDS = 0.02
-"""Seconds between two such retries, which last a tenth of a second together."""
+"""The delay before each of these retries; all of them together take a tenth of a second."""
 
 
 class ConnectionAcquisition:
-    """Waits for a used connection or opens a new one.
+    """Waits for a used connection to become reusable, or opens a new one.
 
     Args:
-        provider: the owner of all connections.
-        pool: the pool of the endpoint.
-        is_wanted: returns whether the attempt still waits for a connection.
+        provider: The owner of all connections.
+        pool: The connection pool of the endpoint.
+        is_wanted: Returns whether the attempt still waits for a connection.
     """
 
     __slots__ = ("_is_wanted", "_pool", "_provider")
@@ -49,10 +52,13 @@
         self._is_wanted = is_wanted
 
     async def acquire(self, reuse_delay_seconds: float) -> OutboundConnection | None:
-        """Return a used connection after its reuse delay (0: there is none), or else a new one.
+        """Return a used connection after its reuse delay, or else a new one.
+
+        A used connection is cheaper than a handshake. Returns None if the attempt no longer waits for a
+        connection after the delay. Raises ConnectError.
 
-        A used connection is cheaper than a handshake. Returns None if no connection is wanted any more after
-        the delay. Raises ConnectError.
+        Args:
+            reuse_delay_seconds: The time until a used connection may be reused; 0 if there is none.
         """
         if reuse_delay_seconds > 0:
             await self._wait(reuse_delay_seconds)
@@ -77,8 +83,8 @@
     async def _open(self) -> OutboundConnection:
         """Return a new connection. Raises ConnectError.
 
-        If the endpoint's address changes during the connect, the result says nothing of the endpoint, and the
-        new address is tried. If this machine is short of a resource, the connect is retried, unless a
+        If the endpoint's address changes during the connect, the result says nothing about the endpoint, and
+        the new address is tried. If this machine is short of a resource, the connect is retried, unless a
         connection has become idle in the meantime.
         """
         shortage_retries_left = MAX_SHORTAGE_RETRIES
@@ -86,7 +92,7 @@
             address = self._pool.address
             try:
                 connection = await self._provider.connect(self._pool)
-            except OSError as error:  # a timeout is one, too
+            except OSError as error:  # includes TimeoutError
                 if address == self._pool.address:
                     if error.errno not in LOCAL_RESOURCE_ERRNOS or not shortage_retries_left:
                         raise connect_error(address, error) from error
--- a/balancer/sidecar/upstream/connection_provider.py
+++ b/balancer/sidecar/upstream/connection_provider.py
@@ -1,4 +1,4 @@
-"""The interfaces of what opens connections to endpoints, and the errors of an attempt that gets none."""
+"""The interfaces for opening connections to endpoints, and the errors of an attempt that gets none."""
 
 from __future__ import annotations
 
@@ -17,40 +17,40 @@
     from balancer.sidecar.upstream.attempt import Attempt
 
 LOCAL_RESOURCE_ERRNOS = RESOURCE_SHORTAGE_ERRNOS | {errno.EADDRNOTAVAIL}
-"""Errors of connect(2) that concern this machine, not the endpoint."""
+"""Errors of connect(2) that are caused by this machine, not by the endpoint."""
 
 
 class Connector(Protocol):
     """Opens connections to endpoints."""
 
     async def __call__(self, pool: EndpointPool, /) -> OutboundConnection:
-        """Open a connection to the endpoint of this pool. Raises OSError; a timeout is one."""
+        """Open a connection to the endpoint of this pool. Raises OSError, also for a timeout."""
 
 
 class ConnectionProvider(Protocol):
-    """What an attempt needs of the owner of all connections to endpoints."""
+    """The part of `UpstreamManager`, the owner of all connections to endpoints, that an attempt uses."""
 
     loop: asyncio.AbstractEventLoop
     """The event loop."""
     connect: Connector
     """Opens a connection."""
     background_attempts: set[Attempt]
-    """Attempts whose outcome is reported but which have not ended."""
+    """The attempts whose outcome is reported but which have not ended."""
 
     def now_ns(self) -> int:
         """Return the time of the sidecar's clock."""
 
     def ensure_connection_capacity(self) -> bool:
-        """Return whether a connection may be opened, having closed an idle one if need be."""
+        """Return whether a connection may be opened; at the limit, an idle one is closed first."""
 
 
 class ConnectError(UpstreamConnectionError):
-    """An attempt has got no connection.
+    """An attempt got no connection.
 
     Attributes:
-        address: the address of the endpoint.
-        attempt_outcome: the outcome of the attempt.
-        reason: why there is no connection, in plain words.
+        address: The address of the endpoint.
+        attempt_outcome: The outcome of the attempt.
+        reason: Why there is no connection; a part of the error message.
     """
 
     attempt_outcome: AttemptOutcome
@@ -62,21 +62,21 @@
 
 
 class EndpointUnreachableError(ConnectError):
-    """The endpoint has accepted no connection at its address."""
+    """The endpoint accepted no connection at its address."""
 
     attempt_outcome = AttemptOutcome.CONNECT_FAILED
     reason = "the endpoint is unreachable"
 
 
 class LocalResourceError(ConnectError):
-    """This sidecar can't open a further connection, which says nothing of the endpoint."""
+    """This sidecar cannot open another connection, which is not the fault of the endpoint."""
 
     attempt_outcome = AttemptOutcome.NOT_SENT
     reason = "local resources are exhausted"
 
 
 def connect_error(address: Address, error: OSError) -> ConnectError:
-    """Return the error of an attempt whose connect to this address has failed."""
+    """Return the error of an attempt whose connect to this address failed with an `OSError`."""
     if error.errno in LOCAL_RESOURCE_ERRNOS:
         return LocalResourceError(address)
     return EndpointUnreachableError(address)
--- a/balancer/sidecar/upstream/health_check.py
+++ b/balancer/sidecar/upstream/health_check.py
@@ -14,14 +14,18 @@
 from balancer.sidecar.upstream.attempt import Attempt
 
 HEALTH_CHECK_TIMEOUT_SECONDS = 0.5
-"""Seconds after which a health check without a response has failed."""
+"""The time after which a health check without a response has failed."""
 
 LoadReportParser: TypeAlias = Callable[[HttpResponse | None], tuple[float, ...]]
 """Returns the load report of a response; () if there is none."""
 
 
 def build_health_check_request(requests_load_report: bool) -> bytes:
-    """Return the request of a health check, which asks for a load report if endpoints have one."""
+    """Return the HTTP request of a health check.
+
+    Args:
+        requests_load_report: Whether the endpoints provide load reports, so that the check requests one.
+    """
     path = "/metrics/load" if requests_load_report else "/alive"
     return f"GET {path} HTTP/1.1\r\nHost: backend.local\r\n\r\n".encode()
 
@@ -29,14 +33,14 @@
 class HealthCheck:
     """Runs one attempt for at most `HEALTH_CHECK_TIMEOUT_SECONDS`, and converts its outcome to an event.
 
-    `run` is called once, with an attempt whose completion callback is `on_attempt_completed`.
+    The creator calls `run` once, with an attempt whose completion callback is `on_attempt_completed`.
 
     Args:
-        endpoint_id: the endpoint.
-        loop: the event loop.
-        now_ns: returns the time of the sidecar's clock. The duration counts from the creation of this object.
-        parse_load_report: returns the load report of the response.
-        on_ended: called exactly once, with this health check and its event.
+        endpoint_id: The endpoint to check.
+        loop: The event loop.
+        now_ns: Returns the time of the sidecar's clock. The duration counts from the creation of this object.
+        parse_load_report: Returns the load report of a response.
+        on_ended: Is called exactly once, with this health check and its event.
     """
 
     def __init__(
@@ -60,7 +64,7 @@
         attempt.start()
 
     def on_attempt_completed(self, outcome: AttemptOutcome, response: HttpResponse | None) -> None:
-        """Report the result. A response of 503 rejects the health check, whatever its headers are."""
+        """Report the result. A response with status 503 counts as rejected, whatever its headers are."""
         self._timeout.cancel()
         if response is not None and response.status == HTTPStatus.SERVICE_UNAVAILABLE:
             outcome = AttemptOutcome.REJECTED
--- a/balancer/sidecar/upstream/load_report.py
+++ b/balancer/sidecar/upstream/load_report.py
@@ -1,6 +1,6 @@
-"""Parses the load reports that account servers send in a header or as the body of a health check.
+"""Parses the load reports that account servers send in a header or in the response to a health check.
 
-A report is `TEXT name=value, name=value, ...` in ASCII.
+A report has the form `TEXT name=value, name=value, ...` in ASCII.
 """
 
 from __future__ import annotations
@@ -8,10 +8,10 @@
 import re
 
 _PREFIX = "TEXT"
-"""Start of a report, which names its format."""
+"""The start of a report, which names its format."""
 
 _NUMBER = re.compile(r"[0-9]{1,15}(?:\.[0-9]{1,15})?(?:e-[0-9]{1,2})?", re.ASCII)
-"""A value of a report; float() alone would accept nan, inf, 1_0 and more."""
+"""The syntax of a value; `float` alone would also accept nan, inf, 1_0 and more."""
 
 
 def parse_load_report(text: bytes, fields: tuple[str, ...]) -> tuple[float, ...]:
--- a/balancer/sidecar/upstream/manager.py
+++ b/balancer/sidecar/upstream/manager.py
@@ -1,4 +1,4 @@
-"""All connections to endpoints: their pools and limit, and the attempts and health checks that use them."""
+"""Manages all connections to endpoints, and the attempts and health checks that use them."""
 
 from __future__ import annotations
 
@@ -21,30 +21,33 @@
 from balancer.time_units import SECOND_NS
 
 USABLE_IDLE_TIME_SHARE = 0.9
-"""The share of the endpoint's idle timeout for which an idle connection is used again.
+"""The fraction of the endpoint's idle timeout during which an idle connection may be reused.
 
-The rest is a margin: the endpoint closes the connection by a clock of its own.
+The rest is a margin, because the endpoint measures the timeout with its own clock.
 """
 
 RESPONSE_BUFFER_MEMORY_DIVISOR = 4
-"""All response bodies in flight may take the memory limit divided by this; the process needs the rest."""
+"""The memory limit divided by this is the limit for all response bodies in flight.
+
+The rest of the process needs the remaining memory.
+"""
 
 
 class UpstreamManager:
     """Owns every connection to an endpoint, and creates the attempts and health checks that use them.
 
-    A connection counts against `max_connections` from the start of its connect until its loss.
+    A connection counts towards `max_connections` from the start of its connect until it is lost.
 
     Args:
-        config: the configuration of the sidecar.
-        loop: the event loop.
-        now_ns: returns the time of the sidecar's clock.
+        config: The configuration of the sidecar.
+        loop: The event loop.
+        now_ns: Returns the time of the sidecar's clock.
 
     Attributes:
-        connect: opens every connection. It is `open_connection`, unless a test replaces it.
-        max_connections: the limit on open connections.
-        buffer_budget: the limit on the bytes that all response bodies in flight may take.
-        background_attempts: attempts whose outcome is reported but which have not ended.
+        connect: Opens every connection. It is `open_connection`, unless a test replaces it.
+        max_connections: The limit on open connections.
+        buffer_budget: The limit on the bytes that all response bodies in flight may take.
+        background_attempts: The attempts whose outcome is reported but which have not ended.
     """
 
     def __init__(
@@ -74,7 +77,7 @@
 
     @property
     def open_connection_count(self) -> int:
-        """Return the number of connections that are being established or not lost yet."""
+        """Return the number of connections that are being established or open."""
         return len(self._open_connections)
 
     # ---- endpoints
@@ -82,7 +85,8 @@
     def update_endpoints(self, endpoints: Iterable[DiscoveredEndpoint], is_snapshot: bool) -> None:
         """Apply an endpoint update. A snapshot removes the endpoints that it does not list.
 
-        Called before the policy handles the update, so that pending connects see that an endpoint drains.
+        The update is applied before the policy handles it, so that attempts that are connecting notice if
+        their endpoint is draining now.
         """
         listed_ids: set[EndpointId] = set()
         for discovered in endpoints:
@@ -126,7 +130,7 @@
         on_completed: CompletionCallback,
         start_before_ns: int = 0,
     ) -> Attempt | None:
-        """Return a new attempt, not started yet; None if the endpoint accepts no new requests.
+        """Return a new attempt that is not started, or None if the endpoint accepts no new requests.
 
         The arguments after the endpoint are those of `Attempt`.
         """
@@ -138,10 +142,10 @@
     def start_health_check(
         self, endpoint_id: EndpointId, on_completed: Callable[[HealthCheckCompleted], None]
     ) -> None:
-        """Check that an endpoint is alive and, if endpoints report their load, ask for it."""
+        """Start to check that an endpoint is alive, and request its load report if endpoints have them."""
 
         def on_ended(ended: HealthCheck, event: HealthCheckCompleted) -> None:
-            """Forget the health check and report its result."""
+            """Remove the health check and report its result."""
             self._health_checks.discard(ended)
             on_completed(event)
 
@@ -158,11 +162,11 @@
         health_check.run(attempt)
 
     def parse_load_report(self, response: HttpResponse | None, body: bool = False) -> tuple[float, ...]:
-        """Return the load report of a response, in the order of the settings; () if there is none.
+        """Return the values of a response's load report in the order of the settings; () if there is none.
 
         Args:
-            response: the response, if there is one.
-            body: whether the body of a successful response is a load report if no header is.
+            response: The response, if there is one.
+            body: Whether the body of a successful response is the load report if no header contains one.
         """
         if response is None or not self._load_report_fields:
             return ()
@@ -177,7 +181,7 @@
     # ---- connections
 
     def ensure_connection_capacity(self) -> bool:
-        """Return whether one more connection may be opened, having closed the longest idle one if need be."""
+        """Return whether a connection may be opened; at the limit, the longest idle one is closed first."""
         if self.open_connection_count < self.max_connections:
             return True
         pools = [pool for pool in self._pools.values() if pool.idle_connections]
@@ -188,9 +192,10 @@
         return True
 
     async def open_connection(self, pool: EndpointPool, /) -> OutboundConnection:
-        """Open a connection to the endpoint of this pool. Raises OSError; a timeout is one.
+        """Open a connection to the endpoint of this pool. Raises OSError, also for a timeout.
 
-        The connection counts until it is lost, which may be before this returns, or until this fails.
+        The connection counts as open until it is lost, which may be before this method returns, or until this
+        method fails.
         """
         connection = OutboundConnection(partial(self._on_connection_lost, pool), self.buffer_budget)
         connection.address = pool.address
@@ -200,7 +205,7 @@
             async with asyncio.timeout(self._connect_timeout_seconds):
                 await self.loop.create_connection(lambda: connection, host, port)
         except BaseException:
-            # Whether its loss will be reported depends on how far the event loop had come.
+            # The event loop may or may not report the loss later, depending on how far the connect had got.
             connection.close()
             self._open_connections.discard(connection)
             raise
--- a/balancer/sidecar/upstream/pool.py
+++ b/balancer/sidecar/upstream/pool.py
@@ -1,4 +1,4 @@
-"""The idle connections to one endpoint."""
+"""The connection pool of one endpoint."""
 
 from __future__ import annotations
 
@@ -8,34 +8,37 @@
 from balancer.time_units import SECOND_NS
 
 CONNECTION_REUSE_DELAY_NS = SECOND_NS // 125
-"""Time for which a connection that was used carries no further request: 8 ms.
+"""How long a connection is not reused after a response: 8 ms.
 
-A second response to one request may come some milliseconds after the first. Taken for the response to a
-request that was written in the meantime, it would be forwarded, or state that the request was not executed.
+An endpoint may send a second response to a request some milliseconds after the first. If another request had
+been written in the meantime, the second response would be taken for the response to that request. It would be
+forwarded to the wrong client, or wrongly state that the request was not executed.
 """
 
 SURPLUS_IDLE_TIMEOUT_NS = 4 * SECOND_NS
-"""Idle time after which a surplus connection, which a burst has left, is closed.
+"""The idle time after which a surplus connection is closed, such as those that remain after a burst.
 
-Each connection takes a part of the endpoint's capacity; a new handshake costs as much work as holding one
-connection for two to six seconds.
+Each open connection takes a part of the endpoint's capacity. A new handshake costs the endpoint as much work
+as keeping one connection open for two to six seconds.
 """
 
 
 class EndpointPool:
-    """The address and health of one endpoint, and the idle connections to it, the longest idle first.
+    """The address and health of one endpoint, and the idle connections to it.
 
-    All points in time are those of one clock, which the callers read.
+    The callers pass the current time, always from the same clock.
 
     Args:
-        endpoint_id: the endpoint.
-        address: its address.
-        health: its health.
-        max_idle_ns: the idle time after which a connection is not used again, as the endpoint may close it at
-            any moment.
+        endpoint_id: The endpoint.
+        address: The address of the endpoint.
+        health: The health of the endpoint.
+        max_idle_ns: The idle time after which a connection is not reused, because the endpoint may close it
+            at any moment.
 
     Attributes:
-        is_ready: whether the endpoint accepts new requests; an attribute, as each attempt reads it twice.
+        idle_connections: The idle connections, the longest idle first.
+        is_ready: Whether the endpoint accepts new requests. It is an attribute rather than a property because
+            each attempt reads it twice.
     """
 
     def __init__(
@@ -63,7 +66,7 @@
     def acquire(self, now_ns: int) -> OutboundConnection | None:
         """Remove and return the most recently used connection that may be reused now, or None.
 
-        The most recently used one goes first so that the surplus grows old and is closed.
+        The most recently used one is preferred, so that surplus connections stay idle and are closed.
         """
         reusable_since_ns = now_ns - CONNECTION_REUSE_DELAY_NS
         usable_after_ns = now_ns - self._max_idle_ns
@@ -78,7 +81,7 @@
         return None
 
     def release(self, connection: OutboundConnection, now_ns: int) -> None:
-        """Keep a connection for the next request, or close it if it is not fit for one."""
+        """Keep a connection for the next request, or close it if it cannot be reused."""
         is_current = self.is_ready and connection.address == self.address
         if not is_current or not connection.is_reusable():
             connection.close()
@@ -86,10 +89,10 @@
         connection.idle_since_ns = now_ns
         self.idle_connections.append(connection)
         while self.idle_connections[0].idle_since_ns < now_ns - SURPLUS_IDLE_TIMEOUT_NS:
-            self.close_longest_idle()  # never the one that was released just now
+            self.close_longest_idle()  # the connection that was just released is never old enough
 
     def seconds_until_reusable(self, now_ns: int) -> float:
-        """Return in how many seconds the first idle connection may be reused; 0 if none is idle."""
+        """Return the time until the first idle connection may be reused; 0 if none is idle."""
         remaining_delay_ns = min(
             (
                 connection.idle_since_ns + CONNECTION_REUSE_DELAY_NS - now_ns
@@ -100,12 +103,12 @@
         return remaining_delay_ns / SECOND_NS
 
     def discard(self, connection: OutboundConnection) -> None:
-        """Remove a connection that is lost, if it was idle here."""
+        """Remove a lost connection from the idle ones, if it is one of them."""
         if connection in self.idle_connections:
             self.idle_connections.remove(connection)
 
     def close_longest_idle(self) -> None:
-        """Close the connection that has been idle for longest. There must be one."""
+        """Close the connection that has been idle for longest. There must be an idle connection."""
         self.idle_connections.pop(0).close()
 
     def close_idle_connections(self) -> None:
--- a/balancer/sidecar/upstream/response_outcome.py
+++ b/balancer/sidecar/upstream/response_outcome.py
@@ -1,4 +1,4 @@
-"""What a response says of the attempt that it answers."""
+"""Determines the outcome of an attempt from its response."""
 
 from __future__ import annotations
 
@@ -8,24 +8,30 @@
 from balancer.sidecar.http.message import HttpResponse
 
 STATUS_OK = int(HTTPStatus.OK)
-"""The one status of a successful response; a plain integer, as every response is compared with it."""
+"""The only status of a successful response.
+
+It is a plain integer for speed, because every response is compared with it.
+"""
 
 REJECTION_STATUSES = frozenset((HTTPStatus.SERVICE_UNAVAILABLE, HTTPStatus.GATEWAY_TIMEOUT))
-"""Statuses of a rejected request, if the endpoint states with a header that it was not executed."""
+"""Statuses of a rejected request, if a header of the response states that it was not executed."""
 
 CLIENT_ERROR_STATUSES = range(400, 500)
-"""Statuses that blame the request (RFC 9110, section 15.5)."""
+"""Statuses of responses to an invalid request (RFC 9110, section 15.5)."""
 
 TRANSIENT_CLIENT_ERROR_STATUSES = frozenset(
     (HTTPStatus.REQUEST_TIMEOUT, HTTPStatus.TOO_EARLY, HTTPStatus.TOO_MANY_REQUESTS)
 )
-"""Client errors that concern the state of the endpoint, not the request."""
+"""Client errors that are caused by the state of the endpoint, not by the request."""
 
 
 def outcome_of_response(response: HttpResponse | None) -> AttemptOutcome:
-    """Return the outcome of an attempt with this response; None if the connection was lost without one.
+    """Return the outcome of an attempt from its response.
+
+    A request that was neither served nor explicitly rejected may have been executed.
 
-    A request that was neither plainly rejected nor served may have been executed.
+    Args:
+        response: The response; None if the connection was lost without one.
     """
     if response is None:
         return AttemptOutcome.CONNECTION_RESET
