--- a/tests/sidecar/downstream/test_requests_over_sockets.py
+++ b/tests/sidecar/downstream/test_requests_over_sockets.py
@@ -96,7 +96,7 @@
 async def test_client_disconnect_is_detected_while_reading_is_paused(ending: str) -> None:
     """Reading pauses after the last request and with a full pipeline; the requests must not be sent then."""
     async with run_endpoint(answer_ok) as endpoint, run_sidecar(endpoint.address) as sidecar:
-        gate = ConnectGate(sidecar, holds_established=False)
+        gate = ConnectGate(sidecar, blocks_after_connect=False)
         client = await sidecar.connect_client()
         if ending == "pipelined":
             request_count = MAX_PIPELINED_REQUESTS
--- a/tests/sidecar/requests/test_attempt_guard.py
+++ b/tests/sidecar/requests/test_attempt_guard.py
@@ -1,4 +1,4 @@
-"""The guard in front of each attempt and each rejection, whatever the policy says."""
+"""Tests of the guard that checks each attempt and each rejection, whatever the policy decides."""
 
 from __future__ import annotations
 
@@ -54,19 +54,19 @@
 
 
 class StubSink:
-    """Answers only whether the client has left."""
+    """A response sink that implements only the check of whether the client has disconnected."""
 
     def __init__(self) -> None:
-        self.client_left = False
+        self.client_disconnected = False
 
     def is_disconnected(self) -> bool:
-        """Return what the test has set."""
-        return self.client_left
+        """Return the value that the test has set."""
+        return self.client_disconnected
 
 
 @dataclass(slots=True)
-class Situation:
-    """A guard and a request of one class."""
+class GuardedRequest:
+    """A guard, and a request that it checks."""
 
     guard: AttemptGuard
     metrics: Metrics
@@ -74,32 +74,32 @@
     sink: StubSink
 
     def refusal(self, endpoint_id: bytes = b"first", now_ns: int = 0) -> AttemptRefusal | None:
-        """Ask the guard whether an attempt may start, and have a refusal recorded, as the runner does."""
+        """Check with the guard whether an attempt may start, and record a refusal as the runner does."""
         refusal = self.guard.refusal(self.request, endpoint_id, now_ns)
         if refusal is not None:
             self.guard.record_refusal(refusal, self.request, endpoint_id, now_ns)
         return refusal
 
     def may_reject(self) -> bool:
-        """Ask the guard whether the request may be rejected, and have a forbidden rejection recorded."""
+        """Check with the guard whether the request may be rejected, and record a forbidden rejection."""
         is_allowed = self.guard.may_reject(self.request)
         if not is_allowed:
             self.guard.record_unsafe_rejection(self.request)
         return is_allowed
 
     def complete_attempt(self, outcome: AttemptOutcome) -> None:
-        """Make and end an attempt at the first endpoint, at time 0."""
+        """Record an attempt at the first endpoint, at time 0, with this outcome."""
         self.request.attempt_count += 1
         self.request.attempt_group = self.guard.group_of(b"first")
         self.request.record_outcome(outcome)
 
     def violations(self, invariant: Invariant) -> int:
-        """Return how many violations were counted."""
+        """Return the number of recorded violations of an invariant."""
         return self.metrics.value(Metric.VIOLATIONS, invariant)
 
 
-def situation(class_name: str = "read") -> Situation:
-    """Return a guard that knows the endpoints, and a request that no attempt was made for."""
+def guarded_request(class_name: str = "read") -> GuardedRequest:
+    """Return a guard that knows the endpoints, and a request of this class without any attempt."""
     metrics = Metrics()
     guard = AttemptGuard(SETTINGS, metrics)
     guard.update_endpoints(
@@ -122,12 +122,12 @@
         OneShotTimer(loop),
         OneShotTimer(loop),
     )
-    return Situation(guard, metrics, request, sink)
+    return GuardedRequest(guard, metrics, request, sink)
 
 
 @async_test
 async def test_first_attempt_may_start() -> None:
-    assert situation("write").refusal() is None
+    assert guarded_request("write").refusal() is None
 
 
 @pytest.mark.parametrize(
@@ -143,7 +143,7 @@
 )
 @async_test
 async def test_attempt_may_not_start(changes: dict[str, Any], expected: AttemptRefusal) -> None:
-    refused = situation()
+    refused = guarded_request()
     for name, value in changes.items():
         setattr(refused.request, name, value)
     assert refused.refusal() == expected
@@ -151,28 +151,29 @@
 
 
 @async_test
-async def test_attempt_may_not_start_for_client_that_left() -> None:
-    left = situation()
-    left.sink.client_left = True
-    assert left.refusal() == AttemptRefusal.CLIENT_DISCONNECTED
-    assert not left.request.answered  # the guard only asks; the runner abandons the request
+async def test_attempt_may_not_start_for_disconnected_client() -> None:
+    disconnected = guarded_request()
+    disconnected.sink.client_disconnected = True
+    assert disconnected.refusal() == AttemptRefusal.CLIENT_DISCONNECTED
+    # The guard only checks; the runner abandons the request.
+    assert not disconnected.request.answered
 
 
 @pytest.mark.parametrize("outcome", list(AttemptOutcome))
 @async_test
-async def test_request_that_must_not_repeat_goes_again_only_if_never_executed(
+async def test_request_that_is_not_idempotent_is_retried_only_if_never_executed(
     outcome: AttemptOutcome,
 ) -> None:
-    repeated = situation("write")
-    repeated.complete_attempt(outcome)
+    retried = guarded_request("write")
+    retried.complete_attempt(outcome)
     never_executed = outcome in (
         AttemptOutcome.REJECTED,
         AttemptOutcome.CONNECT_FAILED,
         AttemptOutcome.NOT_SENT,
     )
-    assert (repeated.refusal() is None) == never_executed
-    assert repeated.violations(Invariant.REPEAT_ALLOWED) == (not never_executed)
-    assert repeated.may_reject() == never_executed
+    assert (retried.refusal() is None) == never_executed
+    assert retried.violations(Invariant.REPEAT_ALLOWED) == (not never_executed)
+    assert retried.may_reject() == never_executed
 
 
 @pytest.mark.parametrize(
@@ -186,40 +187,42 @@
     ],
 )
 @async_test
-async def test_repeat_goes_only_where_it_is_dropped(class_name: str, allowed: set[bytes]) -> None:
-    repeated = situation(class_name)
-    repeated.complete_attempt(AttemptOutcome.TIMEOUT)
-    assert {name for name in ENDPOINTS if repeated.refusal(name) is None} == allowed
+async def test_retry_may_start_only_at_endpoints_that_drop_duplicates(
+    class_name: str, allowed: set[bytes]
+) -> None:
+    retried = guarded_request(class_name)
+    retried.complete_attempt(AttemptOutcome.TIMEOUT)
+    assert {name for name in ENDPOINTS if retried.refusal(name) is None} == allowed
 
 
 @async_test
-async def test_group_of_first_endpoint_is_remembered_after_it_is_removed() -> None:
-    repeated = situation("cell")
-    repeated.complete_attempt(AttemptOutcome.CONNECTION_RESET)
+async def test_group_of_first_endpoint_is_kept_after_it_is_removed() -> None:
+    retried = guarded_request("cell")
+    retried.complete_attempt(AttemptOutcome.CONNECTION_RESET)
     remaining = Endpoint(b"same cell", 0, 0, 0, EndpointHealth.READY, 1.0, 0)
-    repeated.guard.update_endpoints([remaining], is_snapshot=True)
-    assert repeated.refusal(b"same cell") is None
-    assert repeated.refusal(b"first") == AttemptRefusal.RETRY_FORBIDDEN
+    retried.guard.update_endpoints([remaining], is_snapshot=True)
+    assert retried.refusal(b"same cell") is None
+    assert retried.refusal(b"first") == AttemptRefusal.RETRY_FORBIDDEN
 
 
 @async_test
-async def test_repeat_after_its_window_is_refused_and_is_a_violation_only_if_it_is_far_over() -> None:
-    repeated = situation("all")
-    repeated.complete_attempt(AttemptOutcome.TIMEOUT)
-    assert repeated.refusal(now_ns=WINDOW_NS - 1) is None
-    assert repeated.refusal(now_ns=WINDOW_NS) == AttemptRefusal.RETRY_FORBIDDEN
-    assert repeated.violations(Invariant.REPEAT_ALLOWED) == 0
-    assert repeated.refusal(now_ns=WINDOW_NS + MAX_START_DELAY_NS) == AttemptRefusal.RETRY_FORBIDDEN
-    assert repeated.violations(Invariant.REPEAT_ALLOWED) == 1
+async def test_retry_after_window_is_refused_and_is_a_violation_only_after_start_delay() -> None:
+    retried = guarded_request("all")
+    retried.complete_attempt(AttemptOutcome.TIMEOUT)
+    assert retried.refusal(now_ns=WINDOW_NS - 1) is None
+    assert retried.refusal(now_ns=WINDOW_NS) == AttemptRefusal.RETRY_FORBIDDEN
+    assert retried.violations(Invariant.REPEAT_ALLOWED) == 0
+    assert retried.refusal(now_ns=WINDOW_NS + MAX_START_DELAY_NS) == AttemptRefusal.RETRY_FORBIDDEN
+    assert retried.violations(Invariant.REPEAT_ALLOWED) == 1
 
 
 @pytest.mark.parametrize(
-    ("class_name", "is_harmless"),
+    ("class_name", "is_safe"),
     [("read", True), ("all", True), ("zone", False), ("cell", False), ("write", False)],
 )
 @async_test
-async def test_rejection_after_possible_execution(class_name: str, is_harmless: bool) -> None:
-    executed = situation(class_name)
+async def test_rejection_after_possible_execution(class_name: str, is_safe: bool) -> None:
+    executed = guarded_request(class_name)
     executed.complete_attempt(AttemptOutcome.SERVER_ERROR)
-    assert executed.may_reject() == is_harmless
-    assert executed.violations(Invariant.REJECTION_HARMLESS) == (not is_harmless)
+    assert executed.may_reject() == is_safe
+    assert executed.violations(Invariant.REJECTION_HARMLESS) == (not is_safe)
--- a/tests/sidecar/requests/test_dispatcher.py
+++ b/tests/sidecar/requests/test_dispatcher.py
@@ -1,4 +1,4 @@
-"""Tests of the dispatcher over loopback sockets: deadlines, background attempts, clients that leave."""
+"""Tests of the dispatcher over loopback sockets: deadlines, background attempts, disconnected clients."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
 
 @pytest.mark.parametrize(("class_name", "status_code"), [("read", 503), ("post", 504)])
 @async_test
-async def test_attempt_ends_and_answer_is_sent_at_deadline(class_name: str, status_code: int) -> None:
+async def test_attempt_ends_and_response_is_sent_at_deadline(class_name: str, status_code: int) -> None:
     async with run_endpoint(never_answer) as endpoint, run_sidecar(endpoint.address) as sidecar:
         client = await sidecar.connect_client()
         assert (await client.exchange(request_bytes(class_name, deadline="1"))).status == status_code
@@ -58,7 +58,7 @@
 async def test_deadline_margin_is_at_most_a_tenth_of_client_timeout(
     deadline: str, milliseconds_left: int
 ) -> None:
-    """Ten milliseconds of thirty would leave too little time for an answer."""
+    """A margin of 10 ms would take too much of a client timeout of 30 ms."""
     async with run_endpoint(answer_ok) as endpoint, run_sidecar(endpoint.address) as sidecar:
         client = await sidecar.connect_client()
         stop_clock(sidecar.dispatcher.clock)
@@ -69,7 +69,7 @@
 
 @async_test
 async def test_background_attempt_keeps_its_connection_for_next_request() -> None:
-    """Closed at the deadline, each short timeout would cost the next request a handshake."""
+    """If the connection were closed at the deadline, the next request would have to wait for a handshake."""
     may_answer = asyncio.Event()
 
     async def answer_later(request: ReceivedRequest) -> bytes:
@@ -85,7 +85,7 @@
         assert (await client.exchange(request_bytes(deadline="1", request_id="9b1f"))).status == 503
         assert len(endpoint.received_requests) == 1
         assert not endpoint.received_requests[0].connection_closed.is_set()
-        assert sidecar.dispatcher.is_duplicate(b"9b1f")  # a copy of it is still in flight
+        assert sidecar.dispatcher.is_duplicate(b"9b1f")  # its attempt is still in flight
         assert len(sidecar.dispatcher.upstream.background_attempts) == 1
         may_answer.set()
         await wait_until(lambda: not sidecar.dispatcher.upstream.background_attempts)
@@ -96,9 +96,11 @@
         assert len(endpoint.received_requests) == 2
 
 
-@pytest.mark.parametrize(("latency_objective_ns", "goes_on"), [(1_500_000_000, True), (500_000_000, False)])
+@pytest.mark.parametrize(("latency_objective_ns", "continues"), [(1_500_000_000, True), (500_000_000, False)])
 @async_test
-async def test_background_attempt_ends_at_latency_objective(latency_objective_ns: int, goes_on: bool) -> None:
+async def test_background_attempt_ends_at_latency_objective(
+    latency_objective_ns: int, continues: bool
+) -> None:
     settings = change_classes({"AimNs": latency_objective_ns})
     async with (
         run_endpoint(never_answer) as endpoint,
@@ -106,25 +108,28 @@
     ):
         client = await sidecar.connect_client()
         assert (await client.exchange(request_bytes(deadline="1"))).status == 503
-        if not goes_on:
+        if not continues:
             assert not sidecar.dispatcher.upstream.background_attempts
             assert not sidecar.dispatcher.request_registry.in_flight
         [received] = endpoint.received_requests
-        await received.connection_closed.wait()  # in either case
+        await received.connection_closed.wait()  # in both cases
         assert not sidecar.dispatcher.upstream.background_attempts
         assert not sidecar.dispatcher.request_registry.in_flight
 
 
 @async_test
 async def test_early_deadline_timer_starts_no_second_attempt() -> None:
-    """The event loop rounds its timers. A further attempt would be a second copy in flight."""
+    """The event loop rounds its timers, so the deadline timer may fire before the deadline.
+
+    If the policy could then start another attempt, two attempts of the request would be in flight at once.
+    """
     settings = change_classes({"AimNs": 8_000_000_000})
     async with (
         run_endpoint(never_answer) as first,
         run_endpoint(never_answer) as second,
         run_sidecar(first.address, second.address, settings=settings) as sidecar,
     ):
-        # For the policy the deadline never comes; for the event loop it does.
+        # The policy's clock never reaches the deadline, but the event loop's timer fires.
         stop_clock(sidecar.dispatcher.clock)
         client = await sidecar.connect_client()
         assert (await client.exchange(request_bytes(deadline="0.2"))).status == 503
@@ -163,13 +168,13 @@
 async def test_request_is_not_retried_after_client_disconnected() -> None:
     may_answer = asyncio.Event()
 
-    async def decline(_request: ReceivedRequest) -> bytes:
+    async def reject_request(_request: ReceivedRequest) -> bytes:
         await may_answer.wait()
         return b"HTTP/1.1 503 X\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n"
 
     async with (
-        run_endpoint(decline) as first,
-        run_endpoint(decline) as second,
+        run_endpoint(reject_request) as first,
+        run_endpoint(reject_request) as second,
         run_sidecar(first.address, second.address) as sidecar,
     ):
         client = await sidecar.connect_client()
@@ -197,7 +202,7 @@
             TimerFired(77),
         ):
             sidecar.dispatcher.dispatch(stale_event)
-        # The request is over: the attempt must not start.
+        # The request is finished, so the attempt must not start.
         sidecar.dispatcher.execute(StartAttempt(completed.request_id, completed.endpoint_id, 0))
         assert (await client.exchange(request_bytes())).status == 200
         assert len(endpoint.received_requests) == 2
@@ -205,7 +210,7 @@
 
 @async_test
 async def test_client_error_is_neither_retried_nor_counted_as_failure() -> None:
-    """An invalid request fails at any endpoint, which says nothing of the endpoints that refuse it."""
+    """An invalid request fails at every endpoint, so its failure must not count against the endpoints."""
 
     async def answer_bad_request(_request: ReceivedRequest) -> bytes:
         return b"HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n"
@@ -230,7 +235,7 @@
 
 
 @async_test
-async def test_answer_of_the_sidecar_is_logged_with_its_request_and_endpoint(
+async def test_response_of_the_sidecar_is_logged_with_its_request_and_endpoint(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     caplog.set_level(logging.DEBUG, logger="balancer.sidecar.requests")
@@ -246,23 +251,31 @@
     )
 
 
-# ---- a policy that breaks the rules
+# ---- forbidden actions and exceptions of a policy
 
 
 def replace_policy(sidecar: Sidecar, policy: Policy) -> None:
-    """Leave the decisions of a sidecar to another policy."""
+    """Replace the policy of a sidecar."""
     sidecar.balancer = cast(Balancer, policy)
 
 
-class RecklessPolicy:
-    """Sends each request to one endpoint, and does a forbidden thing with what may have been executed."""
+class ViolatingPolicy:
+    """Sends each request to one endpoint, and returns a forbidden action after the attempt.
+
+    Args:
+        endpoint_id: The endpoint of all attempts.
+        after_attempt: Returns the action for the request with this id after its attempt has ended.
+    """
 
     def __init__(self, endpoint_id: bytes, after_attempt: Callable[[int], Action]) -> None:
         self._endpoint_id = endpoint_id
         self._after_attempt = after_attempt
 
     def handle(self, _now_ns: int, event: Event) -> list[Action]:
-        """Start an attempt for a request; do the forbidden thing once it has ended, then give up."""
+        """Start an attempt for a new request and return the forbidden action after it.
+
+        The request fails once an attempt is not sent.
+        """
         if isinstance(event, RequestReceived):
             return [self.start_attempt(event.request_id)]
         if not isinstance(event, AttemptCompleted) or event.request_finished:
@@ -272,19 +285,19 @@
         return [self._after_attempt(event.request_id)]
 
     def start_attempt(self, request_id: int) -> StartAttempt:
-        """Return an attempt of the request."""
+        """Return the action that starts an attempt of the request."""
         return StartAttempt(request_id, self._endpoint_id, 0, 0)
 
 
 async def answer_error(_request: ReceivedRequest) -> bytes:
-    """Script: answer that something went wrong."""
+    """Script: answer with status 500."""
     return status_response(500)
 
 
 @async_test
-async def test_rejection_of_what_may_have_run_is_turned_into_failure_and_counted() -> None:
+async def test_rejection_of_request_that_may_have_run_becomes_failure_and_is_counted() -> None:
     async with run_endpoint(answer_error) as endpoint, run_sidecar(endpoint.address) as sidecar:
-        policy = RecklessPolicy(derive_endpoint_id("s-0"), lambda request_id: RejectRequest(request_id, 0))
+        policy = ViolatingPolicy(derive_endpoint_id("s-0"), lambda request_id: RejectRequest(request_id, 0))
         replace_policy(sidecar, policy)
         client = await sidecar.connect_client()
         assert (await client.exchange(request_bytes("post"))).status == 502
@@ -292,10 +305,10 @@
 
 
 @async_test
-async def test_forbidden_repeat_is_not_sent_and_counted() -> None:
+async def test_forbidden_retry_is_not_sent_but_counted() -> None:
     async with run_endpoint(answer_error) as endpoint, run_sidecar(endpoint.address) as sidecar:
         endpoint_id = derive_endpoint_id("s-0")
-        policy = RecklessPolicy(endpoint_id, lambda request_id: StartAttempt(request_id, endpoint_id, 0, 0))
+        policy = ViolatingPolicy(endpoint_id, lambda request_id: StartAttempt(request_id, endpoint_id, 0, 0))
         replace_policy(sidecar, policy)
         client = await sidecar.connect_client()
         assert (await client.exchange(request_bytes("post"))).status == 502
@@ -304,7 +317,7 @@
 
 
 @async_test
-async def test_action_that_cannot_be_carried_out_keeps_no_other_from_it() -> None:
+async def test_failed_action_does_not_prevent_the_next_one() -> None:
     async with run_endpoint(answer_ok) as endpoint, run_sidecar(endpoint.address) as sidecar:
         unknown_action = cast(Action, object())
         endpoint_id = derive_endpoint_id("s-0")
@@ -321,20 +334,20 @@
 
 
 @async_test
-async def test_repeat_within_the_group_of_the_first_endpoint_is_sent() -> None:
-    """The guard knows from the endpoint list where the endpoints are."""
-    answers = [status_response(500), ok_response()]
+async def test_retry_within_the_group_of_the_first_endpoint_is_sent() -> None:
+    """The guard takes the deduplication groups of the endpoints from the endpoint list."""
+    responses = [status_response(500), ok_response()]
 
     async def answer_error_first(_request: ReceivedRequest) -> bytes:
-        return answers.pop(0)
+        return responses.pop(0)
 
-    keyed = {"Name": "post", "Effect": "dedup", "KeyScope": "cell", "WindowNs": 5 * SECOND_NS}
+    deduplicated_class = {"Name": "post", "Effect": "dedup", "KeyScope": "cell", "WindowNs": 5 * SECOND_NS}
     async with (
         run_endpoint(answer_error_first) as endpoint,
-        run_sidecar(endpoint.address, settings=change_classes({}, keyed)) as sidecar,
+        run_sidecar(endpoint.address, settings=change_classes({}, deduplicated_class)) as sidecar,
     ):
         endpoint_id = derive_endpoint_id("s-0")
-        policy = RecklessPolicy(endpoint_id, lambda request_id: StartAttempt(request_id, endpoint_id, 0, 0))
+        policy = ViolatingPolicy(endpoint_id, lambda request_id: StartAttempt(request_id, endpoint_id, 0, 0))
         replace_policy(sidecar, policy)
         client = await sidecar.connect_client()
         raw = request_bytes("post", extra_headers=b"Idempotency-Key: 7\r\n")
@@ -349,7 +362,7 @@
     caplog.set_level(logging.DEBUG, logger="balancer.sidecar")
     async with run_endpoint(answer_error) as endpoint, run_sidecar(endpoint.address) as sidecar:
         endpoint_id = derive_endpoint_id("s-0")
-        policy = RecklessPolicy(endpoint_id, lambda request_id: StartAttempt(request_id, endpoint_id, 0, 0))
+        policy = ViolatingPolicy(endpoint_id, lambda request_id: StartAttempt(request_id, endpoint_id, 0, 0))
         replace_policy(sidecar, policy)
         client = await sidecar.connect_client()
         assert (await client.exchange(request_bytes("post"))).status == 502
--- a/tests/sidecar/requests/test_policy_driver.py
+++ b/tests/sidecar/requests/test_policy_driver.py
@@ -1,4 +1,4 @@
-"""The driver of the policy: the order of events and actions, and faults in either."""
+"""Tests of the policy driver: the order of events and actions, and exceptions in the policy or an action."""
 
 from __future__ import annotations
 
@@ -30,14 +30,14 @@
 
 
 class ScriptedPolicy:
-    """Decides by a function, and records the events in their order."""
+    """A policy that decides with a function of the test, and records the events in their order."""
 
     def __init__(self, decide: Callable[[Event], Sequence[Action]]) -> None:
         self._decide = decide
         self.events: list[Event] = []
 
     def handle(self, _now_ns: int, event: Event) -> Sequence[Action]:
-        """Record and decide."""
+        """Record the event and return the actions that the function decides on."""
         self.events.append(event)
         return self._decide(event)
 
@@ -65,20 +65,20 @@
 
 def test_pending_endpoint_update_is_one_that_the_policy_has_not_seen() -> None:
     update = EndpointUpdate(EndpointUpdateKind.DELTA, ())
-    answers: list[bool] = []
+    results: list[bool] = []
     executor = ActionExecutor()
     policy = ScriptedPolicy(lambda event: [WriteLog("")] if event in (REQUEST, update) else [])
     queue = make_queue(policy, executor)
 
-    def ask(_action: WriteLog) -> None:
+    def check_queue(_action: WriteLog) -> None:
         if policy.events == [REQUEST]:
-            answers.append(queue.has_pending_endpoint_update())
+            results.append(queue.has_pending_endpoint_update())
             queue.dispatch(update)
-        answers.append(queue.has_pending_endpoint_update())
+        results.append(queue.has_pending_endpoint_update())
 
-    executor.register(WriteLog, ask)
+    executor.register(WriteLog, check_queue)
     queue.dispatch(REQUEST)
-    assert answers == [False, True, False]
+    assert results == [False, True, False]
 
 
 @pytest.mark.parametrize(
@@ -92,7 +92,7 @@
         (TimerFired(3), "policy_failed event=TimerFired request=none endpoint=none error=RuntimeError"),
     ],
 )
-def test_fault_of_the_policy_is_logged_with_its_request_and_endpoint(
+def test_exception_in_the_policy_is_logged_with_its_request_and_endpoint(
     event: Event, message: str, caplog: pytest.LogCaptureFixture
 ) -> None:
     def fail(_event: Event) -> Sequence[Action]:
@@ -108,7 +108,7 @@
     assert all(record.exc_info for record in caplog.records)
 
 
-def test_fault_in_an_action_is_logged_and_keeps_no_other_from_being_carried_out(
+def test_exception_in_an_action_is_logged_and_does_not_prevent_the_next_one(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     failed: list[FailRequest] = []
--- a/tests/sidecar/requests/test_request_registry.py
+++ b/tests/sidecar/requests/test_request_registry.py
@@ -1,4 +1,4 @@
-"""Tests of the request ledger over loopback sockets: duplicates, and the time that an attempt is told."""
+"""Tests of duplicate requests, and of the deadline that an attempt carries, over loopback sockets."""
 
 from __future__ import annotations
 
@@ -18,16 +18,17 @@
 @pytest.mark.parametrize("class_name", ["post", "read"])
 @async_test
 async def test_executed_request_id_is_not_sent_again(class_name: str) -> None:
-    """A client whose answer was lost with its connection may send the same id again."""
+    """A client that loses its connection before the response arrives may retry with the same id."""
     async with run_endpoint(answer_ok) as endpoint, run_sidecar(endpoint.address) as sidecar:
         first_client = await sidecar.connect_client()
         second_client = await sidecar.connect_client()
         assert (await first_client.exchange(request_bytes(class_name, request_id="9b1f"))).status == 200
         assert not sidecar.dispatcher.request_registry.in_flight
         status_code, _, _ = await second_client.exchange(request_bytes(class_name, request_id="9b1f"))
-        # An idempotent request may be sent again.
+        # An idempotent request may be retried.
         assert status_code == (409 if class_name == "post" else 200)
-        advance_clock(sidecar.dispatcher.clock, 9 * SECOND_NS)  # the client has given up by then
+        # The client of the first request has given up by then, so its id is removed.
+        advance_clock(sidecar.dispatcher.clock, 9 * SECOND_NS)
         last_client = await sidecar.connect_client()
         assert (await last_client.exchange(request_bytes("post", request_id="77"))).status == 200
         assert list(sidecar.dispatcher.request_registry.executed_ids_expire_at_ns) == [b"77"]
@@ -35,7 +36,7 @@
 
 @async_test
 async def test_request_id_that_was_never_executed_may_be_sent_again() -> None:
-    """A client sends a request again after a rejection, or where its connection was closed meanwhile."""
+    """A client retries a request after a rejection, or after its connection was closed."""
     async with run_endpoint(answer_ok) as endpoint, run_sidecar(unreachable_address()) as sidecar:
         client = await sidecar.connect_client()
         assert (await client.exchange(request_bytes("post", request_id="9b1f"))).status == 503
@@ -47,12 +48,12 @@
 @pytest.mark.parametrize("waited_seconds", [3, 10])
 @async_test
 async def test_retry_carries_time_left_when_it_is_written(waited_seconds: int) -> None:
-    """With no time left it is not sent, even if its connection comes before the deadline timer."""
+    """A retry without time left is not sent, even if it gets its connection before the deadline timer fires."""
 
     async def decline_first(_request: ReceivedRequest) -> bytes:
         if len(first.received_requests) + len(second.received_requests) > 1:
             return ok_response()
-        gate.opened.clear()  # the retry has to wait
+        gate.opened.clear()  # the retry has to wait for its connection
         return status_response(503, b"Srv-Declined: 1")
 
     async with (
@@ -86,7 +87,7 @@
 
 @async_test
 async def test_attempt_carries_time_left_until_shutdown() -> None:
-    """Told the client's time, an endpoint would work on for a sidecar that has ended."""
+    """With the client's deadline, an endpoint would continue to work for a sidecar that has ended."""
     async with run_endpoint(answer_ok) as endpoint, run_sidecar(endpoint.address) as sidecar:
         gate = ConnectGate(sidecar)
         stop_clock(sidecar.dispatcher.clock)
--- a/tests/sidecar/upstream/harness.py
+++ b/tests/sidecar/upstream/harness.py
@@ -1,7 +1,8 @@
-"""The harness of the tests of the upstream side.
+"""Test support for the upstream side.
 
-It has endpoints that answer in raw bytes, gates that hold connects and reuse delays, and an event loop that
-connects as a test says.
+- Endpoints that answer in raw bytes.
+- Gates that block connects and reuse delays until the test opens them.
+- An event loop that opens connections with a function of the test.
 """
 
 from __future__ import annotations
@@ -37,7 +38,7 @@
 CHUNKED_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)
-"""Value of SO_LINGER with which closing a socket resets its connection."""
+"""The value of SO_LINGER that makes closing a socket reset its connection."""
 
 
 def respond_with(response: bytes) -> Script:
@@ -55,12 +56,12 @@
 
 
 def received_request_count(*endpoints: ScriptedEndpoint) -> int:
-    """Return how many requests these endpoints have received together."""
+    """Return the total number of requests that these endpoints have received."""
     return sum(len(endpoint.received_requests) for endpoint in endpoints)
 
 
 class ExpiredTime(Enum):
-    """Which time limit of an attempt is over."""
+    """The time limit of an attempt that has passed."""
 
     START_WINDOW = auto()
     REQUEST_DEADLINE = auto()
@@ -68,12 +69,12 @@
 
 
 class ConnectionEnd(Enum):
-    """What a raw endpoint does with its connection once the response is written."""
+    """How a raw endpoint ends its connection after it has written the response."""
 
     CLOSE = auto()
     RESET = auto()
     NEVER = auto()
-    """It waits until the sidecar closes the connection."""
+    """The endpoint waits until the sidecar closes the connection."""
 
 
 class RawEndpoint:
@@ -104,7 +105,7 @@
 
 @contextlib.asynccontextmanager
 async def run_raw_endpoint(response: bytes, ending: ConnectionEnd) -> AsyncIterator[tuple[RawEndpoint, str]]:
-    """Run a raw endpoint, and return it with its address."""
+    """Run a raw endpoint, and yield it with its address."""
     endpoint = RawEndpoint(response, ending)
     server = await asyncio.start_server(endpoint.serve_connection, "127.0.0.1", 0)
     host, port = server.sockets[0].getsockname()
@@ -115,29 +116,29 @@
 
 
 class ConnectGate:
-    """Holds every connect of a sidecar to its endpoints until it is opened.
+    """Blocks every connect of a sidecar to its endpoints until the gate is opened.
 
     Args:
-        sidecar: the sidecar whose connects are held.
-        holds_established: whether a connection is made at once and then held, or made only after the hold.
-        first_error: raised in place of the first connection.
+        sidecar: The sidecar whose connects are blocked.
+        blocks_after_connect: Whether the gate blocks after the connection is established, or before.
+        first_error: The error that is raised instead of returning the first connection.
     """
 
     def __init__(
-        self, sidecar: Sidecar, *, holds_established: bool = True, first_error: OSError | None = None
+        self, sidecar: Sidecar, *, blocks_after_connect: bool = True, first_error: OSError | None = None
     ) -> None:
         self.opened = asyncio.Event()
         self.reached = asyncio.Event()
-        """Set once any connect is held."""
+        """Set once any connect is blocked."""
         self.connect_count = 0
-        """How many connects have reached the gate."""
-        self._holds_established = holds_established
+        """The number of connects that have reached the gate."""
+        self._blocks_after_connect = blocks_after_connect
         self._first_error = first_error
         self._connect = sidecar.dispatcher.upstream.connect
         sidecar.dispatcher.upstream.connect = self._connect_when_opened
 
     async def _connect_when_opened(self, pool: EndpointPool) -> OutboundConnection:
-        connection = await self._connect(pool) if self._holds_established else None
+        connection = await self._connect(pool) if self._blocks_after_connect else None
         self.connect_count += 1
         self.reached.set()
         await self.opened.wait()
@@ -150,47 +151,47 @@
 
 
 class ReuseDelayGate:
-    """Holds every attempt that waits for a reuse delay; the clock of the upstream side stands still."""
+    """Blocks every attempt that waits for a reuse delay, and stops the clock of the upstream side."""
 
     def __init__(self, sidecar: Sidecar, monkeypatch: pytest.MonkeyPatch) -> None:
         upstream = sidecar.dispatcher.upstream
         self.now_ns = upstream.now_ns()
         self.waiting: list[asyncio.Future[None]] = []
-        self._held_tasks: list[asyncio.Task[object] | None] = []
+        self._blocked_tasks: list[asyncio.Task[object] | None] = []
         self._released_tasks: set[asyncio.Task[object] | None] = set()
         self._is_open = False
         self._sleep = asyncio.sleep
         upstream.now_ns = lambda: self.now_ns
-        monkeypatch.setattr(asyncio, "sleep", self._hold)
+        monkeypatch.setattr(asyncio, "sleep", self._block)
 
-    async def _hold(self, seconds: float) -> None:
+    async def _block(self, seconds: float) -> None:
         task = asyncio.current_task()
         if not seconds or self._is_open or task in self._released_tasks:
             await self._sleep(0)
             return
         release = asyncio.get_running_loop().create_future()
         self.waiting.append(release)
-        self._held_tasks.append(task)
+        self._blocked_tasks.append(task)
         await release
 
     async def wait_for_attempts(self, count: int) -> None:
-        """Wait until this many attempts were held."""
+        """Wait until this many attempts have been blocked."""
         await wait_until(lambda: len(self.waiting) >= count)
 
     def release_first(self) -> None:
-        """Let the attempt that was held first go on, whatever it waits for after this."""
-        self._released_tasks.add(self._held_tasks[0])
+        """Let the attempt that was blocked first continue, and never block it again."""
+        self._released_tasks.add(self._blocked_tasks[0])
         self.waiting[0].set_result(None)
 
     def release_all(self) -> None:
-        """Let every attempt go on, also those that have not come to wait yet."""
+        """Let every attempt continue, also those that reach the gate later."""
         self._is_open = True
         for release in self.waiting:
             release.set_result(None)
 
 
 class LoopWithConnector:
-    """An event loop that creates tasks as the running one does, but connections by a function of the test."""
+    """An event loop that creates tasks like the running one, but connections with a function of the test."""
 
     def __init__(self, create_connection: Callable[..., Awaitable[object]]) -> None:
         self.create_connection = create_connection
@@ -204,29 +205,29 @@
     return cast(asyncio.AbstractEventLoop, LoopWithConnector(create_connection))
 
 
-class ManagedEndpoint(NamedTuple):
-    """An upstream side without the rest of a sidecar, which knows one endpoint."""
+class UpstreamSetup(NamedTuple):
+    """An upstream side that knows one endpoint, without the rest of a sidecar."""
 
     config: SidecarConfiguration
     upstream: UpstreamManager
     pool: EndpointPool
 
 
-def manage_endpoint(
+def create_upstream(
     address: str,
     loop: asyncio.AbstractEventLoop | None = None,
     now_ns: Callable[[], int] = lambda: SECOND_NS,
-) -> ManagedEndpoint:
-    """Return an upstream side that knows the endpoint at this address; by default its clock stands still."""
+) -> UpstreamSetup:
+    """Return an upstream side that knows the endpoint at this address; by default its clock is stopped."""
     config = parse_configuration(configuration(address))
     upstream = UpstreamManager(config, loop or asyncio.get_running_loop(), now_ns)
     upstream.update_endpoints(config.known_endpoints.endpoints, is_snapshot=True)
     [pool] = upstream.pools.values()
-    return ManagedEndpoint(config, upstream, pool)
+    return UpstreamSetup(config, upstream, pool)
 
 
 class OutcomeQueue(asyncio.Queue[AttemptOutcome]):
-    """Receives the outcomes of attempts; `record` is their completion callback."""
+    """A queue of the outcomes of attempts, whose completion callback is `record`."""
 
     def record(self, outcome: AttemptOutcome, _response: HttpResponse | None) -> None:
         """Add the outcome of an attempt."""
@@ -250,7 +251,7 @@
     start_before_ns: int = 0,
     build_payload: Callable[[], bytes] = request_bytes,
 ) -> Attempt:
-    """Start an attempt at an endpoint, which must take new requests."""
+    """Start an attempt at an endpoint, which must accept new requests."""
     endpoint_id = derive_endpoint_id(endpoint_name)
     attempt = upstream.create_attempt(endpoint_id, build_payload, on_completed, start_before_ns)
     assert attempt is not None
@@ -259,6 +260,6 @@
 
 
 def move_endpoint(sidecar: Sidecar, address: str, health: str = "up") -> None:
-    """Give the sidecar a delta with this address and health of the endpoint s-0."""
+    """Change the address and health of the endpoint s-0 with a delta."""
     document = endpoint_list(2, endpoint_entry("s-0", address, health), is_snapshot=False)
     sidecar.update_endpoints(document, EndpointUpdateKind.DELTA)
--- a/tests/sidecar/upstream/test_attempt_connecting.py
+++ b/tests/sidecar/upstream/test_attempt_connecting.py
@@ -1,4 +1,4 @@
-"""Attempts that wait for a connection: whether their request is sent once there is one."""
+"""Tests of attempts that wait for a connection: whether the request is sent once there is one."""
 
 from __future__ import annotations
 
@@ -41,9 +41,9 @@
 
 @async_test
 async def test_attempt_is_not_sent_after_client_disconnected() -> None:
-    """A connection that is established after the client left goes to the next request."""
+    """A connection that is established after the client has disconnected is used for the next request."""
     async with run_endpoint(answer_ok) as endpoint, run_sidecar(endpoint.address) as sidecar:
-        gate = ConnectGate(sidecar, holds_established=False)
+        gate = ConnectGate(sidecar, blocks_after_connect=False)
         client = await sidecar.connect_client()
         client.writer.write(request_bytes("post", request_id="9b1f"))
         await gate.reached.wait()
@@ -55,7 +55,7 @@
         gate.opened.set()
         next_client = await sidecar.connect_client()
         assert (await next_client.exchange(request_bytes("post", request_id="77"))).status == 200
-        # The connection is kept: the next request has it.
+        # The connection is kept, and the next request uses it.
         assert [received.headers[b"req-id"] for received in endpoint.received_requests] == [b"77"]
         assert not sidecar.dispatcher.upstream.background_attempts
 
@@ -64,7 +64,7 @@
 async def test_no_connection_is_opened_after_client_disconnected_during_reuse_delay(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The attempt waits for the reuse delay of a connection, and ends unsent."""
+    """The attempt waits for the reuse delay of a connection, and ends without being sent."""
     async with run_endpoint(answer_ok) as endpoint, run_sidecar(endpoint.address) as sidecar:
         upstream = sidecar.dispatcher.upstream
         reuse_delay_gate = ReuseDelayGate(sidecar, monkeypatch)  # no connection becomes reusable
@@ -91,14 +91,14 @@
 async def test_attempt_that_expires_while_connecting_is_not_sent(
     expired: ExpiredTime, class_name: str
 ) -> None:
-    """Reported as a timeout, a request that must not run twice would be answered as failed."""
-    # No answer counts after the latency objective, so the attempt times out then.
-    brief_class = {"LateWorth": 0, "AimNs": 20_000_000}
-    brief = change_classes(brief_class, brief_class)
+    """If a timeout were reported, a request that is not idempotent would fail although it was never sent."""
+    # A response has no value after the latency objective, so the attempt times out then.
+    short_class = {"LateWorth": 0, "AimNs": 20_000_000}
+    short_settings = change_classes(short_class, short_class)
     async with (
         run_endpoint(answer_ok) as endpoint,
         run_sidecar(
-            endpoint.address, settings=brief if expired is ExpiredTime.ATTEMPT_TIMEOUT else SETTINGS
+            endpoint.address, settings=short_settings if expired is ExpiredTime.ATTEMPT_TIMEOUT else SETTINGS
         ) as sidecar,
     ):
         gate = ConnectGate(sidecar)
@@ -108,12 +108,12 @@
         await gate.reached.wait()
         if expired is ExpiredTime.REQUEST_DEADLINE:
             sidecar.dispatcher.expire_all_within(0)
-        assert (await client.read_response()).status == 503  # rejected: a retry does no harm
+        assert (await client.read_response()).status == 503  # rejected, and so safe to retry
         completed = await sidecar.wait_for_event(is_attempt_completed)
         assert (completed.outcome, completed.request_finished) == (AttemptOutcome.NOT_SENT, False)
         assert not sidecar.dispatcher.request_registry.in_flight
         assert not sidecar.dispatcher.is_duplicate(b"9b1f")
-        # It says nothing of the endpoint, and its connection is kept.
+        # The expiry does not count against the endpoint, and its connection is kept.
         [state] = sidecar.balancer.membership.endpoints.values()
         assert (state.failure_rate.overall, state.ejection.consecutive_failures) == (0.0, 0)
         assert (state.ejection.until_ns, state.in_flight) == (0, 0)
@@ -128,7 +128,7 @@
 @pytest.mark.parametrize("error", [None, ConnectionRefusedError(), TimeoutError()])
 @async_test
 async def test_connection_to_former_address_gets_no_request(error: OSError | None) -> None:
-    """Nor does a failure of the former address count against the endpoint: the current one is tried."""
+    """Nor does a failed connect to the former address count against the endpoint; the current one is tried."""
     async with (
         run_endpoint(answer_ok) as former,
         run_endpoint(answer_ok) as current,
@@ -150,7 +150,7 @@
         assert [connection.address for connection in pool.idle_connections] == [pool.address]
 
 
-@pytest.mark.parametrize("reason", ["expired", "draining", "no room"])
+@pytest.mark.parametrize("reason", ["expired", "draining", "no capacity"])
 @async_test
 async def test_attempt_connecting_to_former_address_may_end_unsent(reason: str) -> None:
     async with (
@@ -166,7 +166,7 @@
         move_endpoint(sidecar, current.address, "draining" if reason == "draining" else "up")
         if reason == "expired":
             sidecar.dispatcher.expire_all_within(0)
-        elif reason == "no room":
+        elif reason == "no capacity":
             upstream.max_connections = 1
         gate.opened.set()
         assert (await client.read_response()).status == 503
@@ -231,7 +231,10 @@
 @pytest.mark.parametrize("late", [False, True])
 @async_test
 async def test_retry_is_sent_within_deduplication_window_or_not_at_all(late: bool) -> None:
-    """Decided within the window and sent after it, the endpoint would execute the request a second time."""
+    """The policy decides on the retry within the window, but its connection may be established after it.
+
+    An endpoint that received the retry then would execute the request a second time.
+    """
     may_close = asyncio.Event()
 
     async def close_first_connection(_request: ReceivedRequest) -> bytes | None:
@@ -245,7 +248,7 @@
         run_endpoint(close_first_connection) as second,
         run_sidecar(first.address, second.address, settings=change_classes({}, DEDUPLICATED)) as sidecar,
     ):
-        gate = ConnectGate(sidecar, holds_established=False)
+        gate = ConnectGate(sidecar, blocks_after_connect=False)
         now_ns = sidecar.dispatcher.clock.monotonic_ns
         gate.opened.set()
         client = await sidecar.connect_client()
@@ -254,7 +257,7 @@
         gate.opened.clear()
         gate.reached.clear()
         may_close.set()
-        await gate.reached.wait()  # the retry is decided, and has no connection yet
+        await gate.reached.wait()  # the policy has decided on the retry, which has no connection yet
         if late:
             sidecar.dispatcher.clock.monotonic_ns = lambda: now_ns() + 2 * SECOND_NS
         gate.opened.set()
--- a/tests/sidecar/upstream/test_attempt_outcome.py
+++ b/tests/sidecar/upstream/test_attempt_outcome.py
@@ -1,4 +1,4 @@
-"""The outcome of an attempt, by what becomes of its connect and by the response."""
+"""Tests of the outcome of an attempt, by the result of its connect and by the response."""
 
 from __future__ import annotations
 
@@ -69,7 +69,7 @@
 )
 @async_test
 async def test_connect_error_determines_outcome(error: OSError, outcome: AttemptOutcome) -> None:
-    """A lack of descriptors concerns this machine, not the endpoint."""
+    """A lack of descriptors is caused by this machine, not by the endpoint."""
     async with run_sidecar(unreachable_address()) as sidecar:
         sidecar.dispatcher.upstream.connect = AsyncMock(side_effect=error)
         client = await sidecar.connect_client()
@@ -105,7 +105,7 @@
 
 
 async def fail_unexpectedly(*_arguments: object) -> None:
-    """Fail to create a connection, with an error that is not an OSError."""
+    """Raise an error that is not an OSError, instead of creating a connection."""
     raise RuntimeError("unable to perform operation")
 
 
@@ -193,7 +193,7 @@
 async def test_outcome_of_response_without_length(
     ending: ConnectionEnd, class_name: str, status_code: int, outcome: AttemptOutcome
 ) -> None:
-    """The client gets it with its length. One that never ends is given up at the deadline."""
+    """The client gets the response with a content length. One that never ends fails at the deadline."""
     async with (
         run_raw_endpoint(HEAD_WITHOUT_LENGTH + b"x" * 1000, ending) as (first, first_address),
         run_raw_endpoint(HEAD_WITHOUT_LENGTH + b"x" * 1000, ending) as (second, second_address),
@@ -213,7 +213,7 @@
         assert (await sidecar.wait_for_event(is_attempt_completed)).outcome == outcome
         if ending is ConnectionEnd.NEVER:
             [used] = [endpoint for endpoint in (first, second) if endpoint.connections]
-            # The attempt goes on in the background up to the latency objective, no longer.
+            # The attempt continues in the background until the latency objective at most.
             await used.connection_ended.wait()
         await wait_until(lambda: not upstream.open_connection_count)
         assert len(first.connections) + len(second.connections) == 1
--- a/tests/sidecar/upstream/test_attempt_partly_sent.py
+++ b/tests/sidecar/upstream/test_attempt_partly_sent.py
@@ -1,4 +1,4 @@
-"""Attempts of which a part of the request is unsent when their time is over or their client leaves."""
+"""Tests of attempts with a part of the request unsent when their time is over or the client disconnects."""
 
 from __future__ import annotations
 
@@ -25,30 +25,30 @@
 
 
 @contextlib.asynccontextmanager
-async def narrow_endpoint() -> AsyncIterator[tuple[socket.socket, str]]:
-    """Listen with a small receive buffer, and return the listening socket with its address."""
+async def endpoint_with_small_buffer() -> AsyncIterator[tuple[socket.socket, str]]:
+    """Listen with a small receive buffer, and yield the listening socket with its address."""
     with socket.create_server(("127.0.0.1", 0)) as server:
         server.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         host, port = server.getsockname()
         yield server, f"{host}:{port}"
 
 
-def narrow_send_buffers(upstream: UpstreamManager) -> None:
+def shrink_send_buffers(upstream: UpstreamManager) -> None:
     """Give each new connection a small send buffer, so that a long request is sent in part."""
     connect = upstream.connect
 
-    async def connect_narrow(pool: EndpointPool) -> OutboundConnection:
+    async def connect_with_small_buffer(pool: EndpointPool) -> OutboundConnection:
         connection = await connect(pool)
         assert connection.transport is not None
         connected_socket = connection.transport.get_extra_info("socket")
         connected_socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         return connection
 
-    upstream.connect = connect_narrow
+    upstream.connect = connect_with_small_buffer
 
 
 def receive_all(server: socket.socket) -> int:
-    """Return how many bytes the first connection to this socket carries until its end."""
+    """Accept a connection to this socket, and return how many bytes it receives until the connection ends."""
     peer, _ = server.accept()
     peer.settimeout(TEST_TIMEOUT_SECONDS / 4)
     received_bytes = 0
@@ -61,7 +61,8 @@
 async def send_until_start_window_is_over(upstream: UpstreamManager, request: bytes) -> None:
     """Start an attempt whose start window ends while a part of its request is unsent."""
     now_ns = upstream.now_ns()
-    upstream.now_ns = lambda: now_ns  # the connection is established in time, however long that takes
+    # With a stopped clock, the connection is always established within the start window.
+    upstream.now_ns = lambda: now_ns
     completed: asyncio.Future[AttemptOutcome] = asyncio.get_running_loop().create_future()
     start_attempt(
         upstream,
@@ -74,7 +75,7 @@
 
 
 async def send_until_expired(sidecar: Sidecar, request: bytes, expired: ExpiredTime) -> None:
-    """Send a client's request, whose time is over while a part of it is unsent."""
+    """Send a client's request, and let its time expire while a part of it is unsent."""
     client = await sidecar.connect_client()
     client.writer.write(request)
     attempt = await wait_for_attempt_in_flight(sidecar)
@@ -88,14 +89,14 @@
 
 @pytest.mark.parametrize("expired", ExpiredTime)
 @async_test
-async def test_partly_sent_request_goes_no_further_after_its_time(expired: ExpiredTime) -> None:
-    """The rest would be sent whenever the endpoint continues to read, also after the start window.
+async def test_rest_of_partly_sent_request_is_not_sent_after_its_time(expired: ExpiredTime) -> None:
+    """Otherwise the rest would be sent whenever the endpoint continues to read, also after the start window.
 
     A request that was not sent completely is reported as not sent, not as a timeout.
     """
-    async with narrow_endpoint() as (server, address), run_sidecar(address) as sidecar:
+    async with endpoint_with_small_buffer() as (server, address), run_sidecar(address) as sidecar:
         upstream = sidecar.dispatcher.upstream
-        narrow_send_buffers(upstream)
+        shrink_send_buffers(upstream)
         request = request_bytes("post", body=b"x" * 60_000)
         if expired is ExpiredTime.START_WINDOW:
             await send_until_start_window_is_over(upstream, request)
@@ -108,12 +109,12 @@
 
 
 @async_test
-async def test_partly_sent_request_goes_no_further_after_client_disconnected() -> None:
-    """The rest would be sent whenever the endpoint continues to read, for a client that does not wait."""
-    async with narrow_endpoint() as (server, address), run_sidecar(address) as sidecar:
+async def test_rest_of_partly_sent_request_is_not_sent_after_client_disconnected() -> None:
+    """Otherwise the rest would be sent whenever the endpoint continues to read, although no client waits."""
+    async with endpoint_with_small_buffer() as (server, address), run_sidecar(address) as sidecar:
         upstream = sidecar.dispatcher.upstream
         in_flight = sidecar.dispatcher.request_registry.in_flight
-        narrow_send_buffers(upstream)
+        shrink_send_buffers(upstream)
         client = await sidecar.connect_client()
         client.writer.write(request_bytes("post", body=b"x" * 60_000))
         await wait_for_attempt_in_flight(sidecar)
--- a/tests/sidecar/upstream/test_health_check.py
+++ b/tests/sidecar/upstream/test_health_check.py
@@ -13,7 +13,7 @@
 
 
 def is_health_check_of(endpoint_name: str) -> Callable[[Event], bool]:
-    """Return whether an event is the end of a health check of this endpoint."""
+    """Return a function that returns whether an event is the end of a health check of this endpoint."""
     endpoint_id = derive_endpoint_id(endpoint_name)
     return lambda event: isinstance(event, HealthCheckCompleted) and event.endpoint_id == endpoint_id
 
--- a/tests/sidecar/upstream/test_manager.py
+++ b/tests/sidecar/upstream/test_manager.py
@@ -1,4 +1,4 @@
-"""Tests of the owner of all upstream connections: its limits, and that nothing stays open or counted."""
+"""Tests of the upstream manager: its limits, and that no connection stays open or counted after its end."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
     ConnectionEnd,
     OutcomeQueue,
     event_loop_with_connector,
-    manage_endpoint,
+    create_upstream,
     respond_with,
     run_raw_endpoint,
     start_attempt,
@@ -45,7 +45,7 @@
 async def test_connection_lost_as_soon_as_established_is_not_counted() -> None:
     async with run_endpoint(answer_ok) as endpoint:
         loop = event_loop_with_connector(connect_and_lose)
-        _, upstream, pool = manage_endpoint(endpoint.address, loop)
+        _, upstream, pool = create_upstream(endpoint.address, loop)
         connection = await upstream.connect(pool)
         assert upstream.open_connection_count == 0
         assert not connection.is_reusable()
@@ -53,24 +53,24 @@
 
 
 class CancellingProtocol(asyncio.Protocol):
-    """Passes the start and the loss of a connection on, and cancels a task at the start."""
+    """Forwards the start and the loss of a connection, and cancels a task at the start."""
 
     def __init__(self, connection: OutboundConnection, waiting_task: asyncio.Task[Any]) -> None:
         self._connection = connection
         self._waiting_task = waiting_task
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Pass the transport on, then cancel the task."""
+        """Forward the transport, then cancel the task."""
         self._connection.connection_made(transport)
         self._waiting_task.cancel()
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Pass the loss on."""
+        """Forward the loss."""
         self._connection.connection_lost(error)
 
 
 async def connect_and_cancel(factory: Callable[[], OutboundConnection], *address: Any) -> object:
-    """Create a connection for a task that is cancelled in the very turn in which it is established."""
+    """Create a connection for a task that is cancelled in the loop iteration that establishes it."""
     waiting_task = asyncio.current_task()
     assert waiting_task is not None
 
@@ -84,40 +84,40 @@
 async def test_connect_cancelled_as_it_is_established_is_not_counted() -> None:
     async with run_endpoint(answer_ok) as endpoint:
         loop = event_loop_with_connector(connect_and_cancel)
-        _, upstream, pool = manage_endpoint(endpoint.address, loop)
+        _, upstream, pool = create_upstream(endpoint.address, loop)
         connecting = asyncio.ensure_future(upstream.connect(pool))
         await asyncio.wait((connecting,))
         assert connecting.cancelled()
-        for _ in range(10):  # the loss of the connection, if it is reported at all
+        for _ in range(10):  # gives the event loop time to report the loss of the connection, if it does
             await asyncio.sleep(0)
         assert upstream.open_connection_count == 0
 
 
 @async_test
-async def test_idle_connection_makes_room_at_limit_else_attempt_ends_unsent() -> None:
+async def test_idle_connection_is_closed_at_limit_else_attempt_ends_unsent() -> None:
     async with (
-        run_endpoint(never_answer) as silent,
+        run_endpoint(never_answer) as unresponsive,
         run_endpoint(answer_ok) as answering,
-        run_sidecar(silent.address, limits={"sockets": 2}) as sidecar,
+        run_sidecar(unresponsive.address, limits={"sockets": 2}) as sidecar,
     ):
         upstream = sidecar.dispatcher.upstream
         delta = endpoint_list(2, endpoint_entry("s-1", answering.address), is_snapshot=False)
         sidecar.update_endpoints(delta, EndpointUpdateKind.DELTA)
         outcomes = OutcomeQueue()
         start_attempt(upstream, "s-1", outcomes.record)
-        # Its connection is idle then, and the only one that is allowed.
+        # The connection is idle now, and takes up the whole limit.
         assert await outcomes.get() == AttemptOutcome.SUCCESS
         start_attempt(upstream, "s-0", outcomes.record)
-        await silent.request_arrived.wait()
+        await unresponsive.request_arrived.wait()
         start_attempt(upstream, "s-1", outcomes.record)
-        # The lack of room is this sidecar's: it must not look like a failure of the endpoint.
+        # The limit is this sidecar's own, so the outcome must not be a failure of the endpoint.
         assert await outcomes.get() == AttemptOutcome.NOT_SENT
         assert len(answering.received_requests) == 1
 
 
 @async_test
 async def test_response_bodies_are_limited_together_not_to_64_kib() -> None:
-    """Endpoints send several times the 64 KiB that the protocol names, and must not look broken then."""
+    """Endpoints send several times the 64 KiB of the protocol, which must not count as a failure."""
     body = b"x" * 400_000
     async with (
         run_endpoint(respond_with(ok_response(body))) as endpoint,
@@ -134,8 +134,8 @@
 
 @pytest.mark.parametrize("max_buffered_bytes", [MAX_RESPONSE_BODY_BYTES // 2, 3 * MAX_RESPONSE_BODY_BYTES])
 @async_test
-async def test_too_long_response_without_length_is_refused_before_it_ends(max_buffered_bytes: int) -> None:
-    """By the limit of one response, and by that of all together."""
+async def test_too_long_response_without_length_is_aborted_before_it_ends(max_buffered_bytes: int) -> None:
+    """The limit of one response applies, and so does the limit of all responses together."""
     response = HEAD_WITHOUT_LENGTH + b"x" * 2 * MAX_RESPONSE_BODY_BYTES
     async with (
         run_raw_endpoint(response, ConnectionEnd.NEVER) as (endpoint, address),
@@ -146,18 +146,18 @@
         client = await sidecar.connect_client()
         assert (await client.exchange(request_bytes("post"))).status == 502
         assert (await sidecar.wait_for_event(is_attempt_completed)).outcome == AttemptOutcome.CONNECTION_RESET
-        await endpoint.connection_ended.wait()  # which the endpoint itself would keep open
+        await endpoint.connection_ended.wait()  # the endpoint itself would keep it open
         assert budget.used_bytes == 0
 
 
 def count_open_descriptors() -> int:
-    """Return how many file descriptors this process has open."""
+    """Return the number of open file descriptors of this process."""
     return sum(1 for _ in Path("/proc/self/fd").iterdir())
 
 
 @contextlib.contextmanager
 def unresponsive_address() -> Iterator[str]:
-    """An address that completes no connect: its backlog is full of connections that nobody accepts."""
+    """Yield an address where no connect completes, because its backlog is full and nothing accepts."""
     with socket.socket() as listening, contextlib.ExitStack() as stack:
         listening.bind(("127.0.0.1", 0))
         listening.listen(0)
@@ -181,7 +181,7 @@
 async def test_abandoned_connect_leaves_nothing_open(
     connect_timeout_ns: int, is_aborted: bool, outcome: AttemptOutcome
 ) -> None:
-    """Neither a descriptor nor a place in the count is left."""
+    """Afterwards no descriptor is open, and no connection is counted."""
     settings = SETTINGS | {"Limits": {"ConnectTimeoutNs": connect_timeout_ns}}
     with unresponsive_address() as address:
         async with run_sidecar(address, settings=settings) as sidecar:
--- a/tests/sidecar/upstream/test_pool.py
+++ b/tests/sidecar/upstream/test_pool.py
@@ -1,4 +1,4 @@
-"""Tests of the pool of an endpoint's connections: which are kept, and for how long."""
+"""Tests of the connection pool of an endpoint: which connections are kept, and for how long."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     HEAD_WITHOUT_LENGTH,
     ConnectGate,
     ConnectionEnd,
-    manage_endpoint,
+    create_upstream,
     move_endpoint,
     run_raw_endpoint,
 )
@@ -25,10 +25,10 @@
 
 @async_test
 async def test_surplus_connections_close_once_idle_and_last_one_stays() -> None:
-    """Each takes a part of the endpoint's capacity, so those left by a burst must not stay for long."""
+    """Each connection takes a part of the endpoint's capacity, so a burst must not leave many open for long."""
     async with run_endpoint(answer_ok) as endpoint:
         now_ns = SECOND_NS
-        config, upstream, pool = manage_endpoint(endpoint.address, now_ns=lambda: now_ns)
+        config, upstream, pool = create_upstream(endpoint.address, now_ns=lambda: now_ns)
         burst = [await upstream.connect(pool) for _ in range(3)]
         for connection in burst:
             pool.release(connection, now_ns)
@@ -41,7 +41,7 @@
         pool.release(burst[2], now_ns)
         assert pool.idle_connections == [burst[2]]
         assert not burst[0].is_reusable()
-        now_ns += config.connection_idle_timeout_ns  # the endpoint may close it any moment
+        now_ns += config.connection_idle_timeout_ns  # the endpoint may close it at any moment
         assert pool.acquire(now_ns) is None
 
 
@@ -61,7 +61,7 @@
 
 @async_test
 async def test_connection_to_former_address_is_not_kept() -> None:
-    """Kept, it would carry the next request to a machine that the endpoint list no longer names."""
+    """Otherwise it would carry the next request to a machine that is no longer in the endpoint list."""
     may_answer = asyncio.Event()
 
     async def answer_later(_request: ReceivedRequest) -> bytes:
@@ -111,7 +111,7 @@
 )
 @async_test
 async def test_connection_is_not_reused_within_reuse_delay(second_response: bytes) -> None:
-    """A late second response to one request would be taken for the response to the next one."""
+    """Otherwise a late second response to one request would be taken for the response to the next one."""
     may_send_second = asyncio.Event()
 
     async def serve_connection(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
