--- a/balancer/sidecar/requests/dispatcher.py
+++ b/balancer/sidecar/requests/dispatcher.py
@@ -98,7 +98,9 @@
         self._deadlines = RequestDeadlines(
             loop, now_ns, self.request_registry, attempts, final_responses, self._events, self.metrics
         )
-        self._intake = RequestIntake(now_ns, self.request_registry, self._deadlines, self._events, self.metrics)
+        self._intake = RequestIntake(
+            now_ns, self.request_registry, self._deadlines, self._events, self.metrics
+        )
         self._endpoint_updates = EndpointUpdates(
             self.upstream, guard, start_times, self._events, self.metrics
         )
--- a/tests/sidecar/requests/test_request_registry.py
+++ b/tests/sidecar/requests/test_request_registry.py
@@ -48,7 +48,7 @@
 @pytest.mark.parametrize("waited_seconds", [3, 10])
 @async_test
 async def test_retry_carries_time_left_when_it_is_written(waited_seconds: int) -> None:
-    """A retry without time left is not sent, even if it gets its connection before the deadline timer fires."""
+    """A retry without time left is not sent, even if its connection is ready before the deadline timer."""
 
     async def decline_first(_request: ReceivedRequest) -> bytes:
         if len(first.received_requests) + len(second.received_requests) > 1:
--- a/tests/sidecar/upstream/test_attempt_connecting.py
+++ b/tests/sidecar/upstream/test_attempt_connecting.py
@@ -128,7 +128,7 @@
 @pytest.mark.parametrize("error", [None, ConnectionRefusedError(), TimeoutError()])
 @async_test
 async def test_connection_to_former_address_gets_no_request(error: OSError | None) -> None:
-    """Nor does a failed connect to the former address count against the endpoint; the current one is tried."""
+    """A failed connect to the former address does not count either; the current address is tried."""
     async with (
         run_endpoint(answer_ok) as former,
         run_endpoint(answer_ok) as current,
--- a/tests/sidecar/upstream/test_pool.py
+++ b/tests/sidecar/upstream/test_pool.py
@@ -25,7 +25,7 @@
 
 @async_test
 async def test_surplus_connections_close_once_idle_and_last_one_stays() -> None:
-    """Each connection takes a part of the endpoint's capacity, so a burst must not leave many open for long."""
+    """Each connection takes a part of the endpoint's capacity, so those of a burst must not stay for long."""
     async with run_endpoint(answer_ok) as endpoint:
         now_ns = SECOND_NS
         config, upstream, pool = create_upstream(endpoint.address, now_ns=lambda: now_ns)
