--- a/balancer/sidecar/requests/attempt_runner.py
+++ b/balancer/sidecar/requests/attempt_runner.py
@@ -17,9 +17,9 @@
 from balancer.sidecar.requests.client_disconnects import ClientDisconnects
 from balancer.sidecar.requests.final_answers import FinalResponses
 from balancer.sidecar.requests.in_flight_request import InFlightRequest
-from balancer.sidecar.requests.request_registry import RequestRegistry
-from balancer.sidecar.requests.log_fields import format_endpoint_id
 from balancer.sidecar.requests.interfaces import AttemptEvents
+from balancer.sidecar.requests.log_fields import format_endpoint_id
+from balancer.sidecar.requests.request_registry import RequestRegistry
 from balancer.sidecar.runtime.metrics import Invariant, Metric, Metrics
 from balancer.sidecar.upstream.manager import UpstreamManager
 from balancer.time_units import SECOND_NS
@@ -91,7 +91,7 @@
         """Let an attempt that was sent continue after the request, until the latency objective at most.
 
         Until the objective a response is still likely, and with it the connection stays usable. After the
-        objective the endpoint is overloaded, and closing the connection may save it the work.
+        objective the endpoint cannot keep up, and closing the connection may save it the work.
         """
         if request.attempt is None:
             return
--- a/balancer/sidecar/requests/dispatcher.py
+++ b/balancer/sidecar/requests/dispatcher.py
@@ -32,11 +32,11 @@
 from balancer.sidecar.requests.event_queue import EventQueue
 from balancer.sidecar.requests.final_answers import FinalResponses
 from balancer.sidecar.requests.housekeeping_actions import HousekeepingActions
-from balancer.sidecar.requests.request_registry import RequestRegistry
-from balancer.sidecar.requests.policy_driver import PolicyDriver
 from balancer.sidecar.requests.interfaces import EndpointDiscovery, GossipSender, Policy
+from balancer.sidecar.requests.policy_driver import PolicyDriver
 from balancer.sidecar.requests.request_deadlines import RequestDeadlines
 from balancer.sidecar.requests.request_intake import RequestIntake
+from balancer.sidecar.requests.request_registry import RequestRegistry
 from balancer.sidecar.runtime.clock import Clock
 from balancer.sidecar.runtime.metrics import Metrics
 from balancer.sidecar.upstream.manager import UpstreamManager
--- a/balancer/sidecar/requests/final_answers.py
+++ b/balancer/sidecar/requests/final_answers.py
@@ -12,8 +12,8 @@
 from balancer.sidecar.http.message import HttpResponse
 from balancer.sidecar.requests.attempt_guard import AttemptGuard
 from balancer.sidecar.requests.in_flight_request import InFlightRequest
-from balancer.sidecar.requests.request_registry import RequestRegistry
 from balancer.sidecar.requests.log_fields import NONE, format_endpoint_id
+from balancer.sidecar.requests.request_registry import RequestRegistry
 from balancer.sidecar.runtime.metrics import Metric, Metrics
 
 log = logging.getLogger(__name__)
--- a/balancer/sidecar/requests/policy_driver.py
+++ b/balancer/sidecar/requests/policy_driver.py
@@ -7,8 +7,8 @@
 
 from balancer.policy_api import Action, Event
 from balancer.sidecar.requests.action_executor import ActionExecutor
-from balancer.sidecar.requests.log_fields import endpoint_of, request_of
 from balancer.sidecar.requests.interfaces import Policy
+from balancer.sidecar.requests.log_fields import endpoint_of, request_of
 
 log = logging.getLogger(__name__)
 
--- a/balancer/sidecar/requests/request_deadlines.py
+++ b/balancer/sidecar/requests/request_deadlines.py
@@ -11,8 +11,8 @@
 from balancer.sidecar.requests.event_queue import EventQueue
 from balancer.sidecar.requests.final_answers import FinalResponses
 from balancer.sidecar.requests.in_flight_request import InFlightRequest
-from balancer.sidecar.requests.request_registry import RequestRegistry
 from balancer.sidecar.requests.log_fields import format_endpoint_id
+from balancer.sidecar.requests.request_registry import RequestRegistry
 from balancer.sidecar.runtime.metrics import Invariant, Metrics
 from balancer.sidecar.runtime.timers import OneShotTimer
 from balancer.time_units import MILLISECOND_NS, SECOND_NS
--- a/balancer/sidecar/requests/request_intake.py
+++ b/balancer/sidecar/requests/request_intake.py
@@ -7,8 +7,8 @@
 from balancer.policy_api import RequestReceived
 from balancer.sidecar.requests.client_request import ClientRequest, ResponseSink
 from balancer.sidecar.requests.event_queue import EventQueue
-from balancer.sidecar.requests.request_registry import RequestRegistry
 from balancer.sidecar.requests.request_deadlines import RequestDeadlines
+from balancer.sidecar.requests.request_registry import RequestRegistry
 from balancer.sidecar.runtime.metrics import Metric, Metrics
 from balancer.time_units import SECOND_NS
 
