--- a/balancer/sidecar/upstream/pool.py
+++ b/balancer/sidecar/upstream/pool.py
@@ -92,7 +92,7 @@
             self.close_longest_idle()  # the connection that was just released is never old enough
 
     def seconds_until_reusable(self, now_ns: int) -> float:
-        """Return the time until the first idle connection may be reused; 0 if none is idle."""
+        """Return the number of seconds until an idle connection may be reused; 0 if none is idle."""
         remaining_delay_ns = min(
             (
                 connection.idle_since_ns + CONNECTION_REUSE_DELAY_NS - now_ns
