--- a/balancer/sidecar/requests/attempt_guard.py
+++ b/balancer/sidecar/requests/attempt_guard.py
@@ -130,9 +130,7 @@
         detail = f"request={request.request_id} endpoint={format_endpoint_id(endpoint_id)}"
         self._metrics.record_violation(Invariant.ONE_ATTEMPT, detail)
 
-    def _record_forbidden_retry(
-        self, request: InFlightRequest, endpoint_id: EndpointId, now_ns: int
-    ) -> None:
+    def _record_forbidden_retry(self, request: InFlightRequest, endpoint_id: EndpointId, now_ns: int) -> None:
         """Record a violation, unless the retry missed its window by less than `MAX_START_DELAY_NS`."""
         request_class = self._class_of(request)
         window_end_ns = _deduplication_end_ns(request, request_class)
--- a/tests/sidecar/downstream/test_listener.py
+++ b/tests/sidecar/downstream/test_listener.py
@@ -189,7 +189,8 @@
     client.sendall(b"".join([request_bytes() for _ in range(7)]) + request_bytes(extra_headers=CLOSE_HEADER))
     await wait_until(
         lambda: (
-            len(endpoint.received_requests) >= earlier_count + 8 and not sidecar.dispatcher.request_registry.in_flight
+            len(endpoint.received_requests) >= earlier_count + 8
+            and not sidecar.dispatcher.request_registry.in_flight
         )
     )
 
