--- a/tests/sidecar/upstream/test_pool.py
+++ b/tests/sidecar/upstream/test_pool.py
@@ -1,4 +1,4 @@
-"""Tests of the pool of an endpoint's connections: which are kept, and for how long."""
+"""Tests of the connection pool of an endpoint: which connections are kept, and for how long."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 import pytest
 
 from balancer.policy_api import ClientDisconnected, RequestReceived
-from balancer.sidecar.upstream.pool import CONNECTION_REUSE_DELAY_NS, SURPLUS_IDLE_NS
+from balancer.sidecar.upstream.pool import CONNECTION_REUSE_DELAY_NS, SURPLUS_IDLE_TIMEOUT_NS
 from balancer.time_units import SECOND_NS
 from tests.sidecar.event_loop import async_test, wait_until
 from tests.sidecar.messages import ok_response, request_bytes
@@ -17,7 +17,7 @@
     HEAD_WITHOUT_LENGTH,
     ConnectGate,
     ConnectionEnd,
-    manage_endpoint,
+    create_upstream,
     move_endpoint,
     run_raw_endpoint,
 )
@@ -25,23 +25,23 @@
 
 @async_test
 async def test_surplus_connections_close_once_idle_and_last_one_stays() -> None:
-    """Each takes a part of the endpoint's capacity, so those left by a burst must not stay for long."""
+    """Each connection takes a part of the endpoint's capacity, so those of a burst must not stay for long."""
     async with run_endpoint(answer_ok) as endpoint:
         now_ns = SECOND_NS
-        config, upstream, pool = manage_endpoint(endpoint.address, now_ns=lambda: now_ns)
+        config, upstream, pool = create_upstream(endpoint.address, now_ns=lambda: now_ns)
         burst = [await upstream.connect(pool) for _ in range(3)]
         for connection in burst:
             pool.release(connection, now_ns)
-        now_ns += SURPLUS_IDLE_NS // 2
+        now_ns += SURPLUS_IDLE_TIMEOUT_NS // 2
         assert pool.acquire(now_ns) is burst[2]
         pool.release(burst[2], now_ns)
         assert pool.idle_connections == burst
-        now_ns += SURPLUS_IDLE_NS
+        now_ns += SURPLUS_IDLE_TIMEOUT_NS
         assert pool.acquire(now_ns) is burst[2]
         pool.release(burst[2], now_ns)
         assert pool.idle_connections == [burst[2]]
         assert not burst[0].is_reusable()
-        now_ns += config.connection_idle_timeout_ns  # the endpoint may close it any moment
+        now_ns += config.connection_idle_timeout_ns  # the endpoint may close it at any moment
         assert pool.acquire(now_ns) is None
 
 
@@ -61,7 +61,7 @@
 
 @async_test
 async def test_connection_to_former_address_is_not_kept() -> None:
-    """Kept, it would carry the next request to a machine that the endpoint list no longer names."""
+    """Otherwise it would carry the next request to a machine that is no longer in the endpoint list."""
     may_answer = asyncio.Event()
 
     async def answer_later(_request: ReceivedRequest) -> bytes:
@@ -111,7 +111,7 @@
 )
 @async_test
 async def test_connection_is_not_reused_within_reuse_delay(second_response: bytes) -> None:
-    """A late second response to one request would be taken for the response to the next one."""
+    """Otherwise a late second response to one request would be taken for the response to the next one."""
     may_send_second = asyncio.Event()
 
     async def serve_connection(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
