--- a/balancer/policy/balancer.py
+++ b/balancer/policy/balancer.py
@@ -8,7 +8,7 @@
 from random import Random
 
 from balancer import policy_api as api
-from balancer.policy.endpoints.discovery_polling import RETRY_MIN_DELAY
+from balancer.policy.endpoints.discovery_polling import MIN_RETRY_DELAY_SHARE
 from balancer.policy.endpoints.endpoint_maintenance import EndpointMaintenance
 from balancer.policy.endpoints.health_checks import HealthCheckHandler
 from balancer.policy.endpoints.membership import Membership
@@ -139,10 +139,10 @@
 
     def _on_endpoint_update(self, now_ns: int, event: api.EndpointUpdate) -> None:
         if event.kind == api.EndpointUpdateKind.DISCOVERY_FAILED:
-            self.membership.polling.schedule(now_ns, RETRY_MIN_DELAY)
+            self.membership.polling.schedule(now_ns, MIN_RETRY_DELAY_SHARE)
         else:
             self.membership.apply(event)
-            self.subsets.use_ranking(self.membership.ranked_endpoints())
+            self.subsets.set_ranking(self.membership.ranked_endpoints())
 
     def _on_timer(self, now_ns: int, event: api.TimerFired) -> None:
         token = TimerToken(event.token)
--- a/balancer/policy/endpoints/ejection_state.py
+++ b/balancer/policy/endpoints/ejection_state.py
@@ -4,12 +4,12 @@
 class EjectionState:
     """The ejection of an endpoint, changed by its own methods only."""
 
-    __slots__ = ("consecutive_failures", "count", "health_check_pending", "until_ns")
+    __slots__ = ("consecutive_failures", "ejections_since_success", "health_check_pending", "until_ns")
 
     def __init__(self) -> None:
         self.until_ns = 0
         """End of the most recent ejection; 0 if there was none."""
-        self.count = 0
+        self.ejections_since_success = 0
         """Ejections since the last success."""
         self.consecutive_failures = 0
         """Failed attempts since the last success or successful health check."""
@@ -30,12 +30,12 @@
             self.consecutive_failures += 1
         else:
             self.consecutive_failures = 0
-            self.count = 0
+            self.ejections_since_success = 0
 
     def eject(self, until_ns: int) -> None:
         """Eject the endpoint."""
         self.until_ns = until_ns
-        self.count += 1
+        self.ejections_since_success += 1
 
     def await_health_check(self, until_ns: int) -> None:
         """Extend the ejection until a health check has ended."""
--- a/balancer/policy/endpoints/endpoint_estimates.py
+++ b/balancer/policy/endpoints/endpoint_estimates.py
@@ -8,17 +8,17 @@
 
 from balancer.time_units import HOUR_NS, SECOND_NS
 
-SMOOTHING = 0.25
+SMOOTHING_FACTOR = 0.25
 """Weight of a new sample in a smoothed estimate (share): about the last four samples count."""
 
 ESTIMATE_HALF_LIFE_NS = 24 * SECOND_NS
 """Age at which an estimate has half its weight (ns): slow spells of an endpoint last about that long."""
 
-SILENCE_NS = SECOND_NS
+UNRESPONSIVE_AFTER_NS = SECOND_NS
 """Time without an answer after which an endpoint is silent (ns): even a long queue answers more often."""
 
 
-def freshness(updated_at_ns: int, now_ns: int) -> float:
+def age_weight(updated_at_ns: int, now_ns: int) -> float:
     """Return the weight of an estimate: 1 when just updated, 1/2 after its half-life, then towards 0."""
     return ESTIMATE_HALF_LIFE_NS / (ESTIMATE_HALF_LIFE_NS + max(0, now_ns - updated_at_ns))
 
@@ -46,13 +46,13 @@
 
     def record(self, failed: bool, now_ns: int) -> None:
         """Record the outcome of an attempt of any class."""
-        self.overall += SMOOTHING * (failed - self.overall)
+        self.overall += SMOOTHING_FACTOR * (failed - self.overall)
         self.updated_at_ns = now_ns
 
     def record_for_class(self, class_index: int, failed: bool, now_ns: int) -> None:
         """Record the outcome of an attempt of one class."""
         rate = self._by_class[class_index].rate
-        self._by_class[class_index] = ClassFailureRate(rate + SMOOTHING * (failed - rate), now_ns)
+        self._by_class[class_index] = ClassFailureRate(rate + SMOOTHING_FACTOR * (failed - rate), now_ns)
 
     def expected(self, class_index: int, now_ns: int) -> float:
         """Return the failure rate to expect for a class: the higher of its own and the overall one.
@@ -62,10 +62,10 @@
         # Rates are mostly zero and this is called for each candidate of each attempt: hence the two branches.
         overall = self.overall
         if overall:
-            overall *= freshness(self.updated_at_ns, now_ns)
+            overall *= age_weight(self.updated_at_ns, now_ns)
         class_rate, class_updated_at_ns = self._by_class[class_index]
         if class_rate:
-            class_rate *= freshness(class_updated_at_ns, now_ns)
+            class_rate *= age_weight(class_updated_at_ns, now_ns)
         return max(overall, class_rate)
 
 
@@ -82,43 +82,43 @@
     def record(self, ratio: float) -> None:
         """Record the ratio of a successful answer; the first one replaces the default."""
         known_ratio = self.value if self.updated_at_ns else ratio
-        self.value = known_ratio + SMOOTHING * (ratio - known_ratio)
+        self.value = known_ratio + SMOOTHING_FACTOR * (ratio - known_ratio)
 
-    def renew(self, now_ns: int) -> None:
+    def mark_updated(self, now_ns: int) -> None:
         """Record that the endpoint answered, which restores the full weight of the estimate."""
         self.updated_at_ns = now_ns
 
     def expected(self, now_ns: int) -> float:
         """Return the ratio to expect; it approaches 1 as the estimate ages."""
-        return 1 + (self.value - 1) * freshness(self.updated_at_ns, now_ns)
+        return 1 + (self.value - 1) * age_weight(self.updated_at_ns, now_ns)
 
 
-class AnswerHistory:
+class ResponseHistory:
     """When an endpoint last served requests, and since when it owes an answer."""
 
-    __slots__ = ("last_success_ns", "newest_served_ns", "unanswered_since_ns")
+    __slots__ = ("last_success_ns", "latest_served_start_ns", "waiting_since_ns")
 
     def __init__(self) -> None:
         self.last_success_ns = -HOUR_NS
-        self.unanswered_since_ns = 0
+        self.waiting_since_ns = 0
         """Start of the present wait for any answer."""
-        self.newest_served_ns = 0
+        self.latest_served_start_ns = 0
         """Start time of the most recently started attempt that succeeded."""
 
     def record(self, failed: bool, now_ns: int) -> None:
         """Record an answer."""
-        self.unanswered_since_ns = now_ns
+        self.waiting_since_ns = now_ns
         if not failed:
             self.last_success_ns = now_ns
 
-    def record_served(self, started_at_ns: int) -> None:
+    def record_served_attempt(self, started_at_ns: int) -> None:
         """Record that an attempt with this start time succeeded."""
-        self.newest_served_ns = max(self.newest_served_ns, started_at_ns)
+        self.latest_served_start_ns = max(self.latest_served_start_ns, started_at_ns)
 
     def restart_wait(self, now_ns: int) -> None:
         """Measure the wait for an answer from now on."""
-        self.unanswered_since_ns = now_ns
+        self.waiting_since_ns = now_ns
 
-    def is_silent(self, now_ns: int) -> bool:
+    def is_unresponsive(self, now_ns: int) -> bool:
         """Return whether the endpoint has answered nothing for so long that queueing cannot be the cause."""
-        return now_ns - self.unanswered_since_ns > SILENCE_NS
+        return now_ns - self.waiting_since_ns > UNRESPONSIVE_AFTER_NS
--- a/balancer/policy/endpoints/endpoint_state.py
+++ b/balancer/policy/endpoints/endpoint_state.py
@@ -4,7 +4,7 @@
 
 from balancer.policy.endpoints.ejection_state import EjectionState
 from balancer.policy.endpoints.endpoint_estimates import (
-    AnswerHistory,
+    ResponseHistory,
     FailureRateEstimate,
     LatencyRatioEstimate,
 )
@@ -42,7 +42,6 @@
     __slots__ = (
         "_class_count",
         "affinity_hash",
-        "answers",
         "cell",
         "connections",
         "ejection",
@@ -52,6 +51,7 @@
         "in_flight",
         "latency_ratio",
         "rank_hash",
+        "responses",
         "started_at_ns",
         "weight",
         "zone",
@@ -67,19 +67,19 @@
         self.in_flight = 0
         """Attempts of this sidecar that have not ended."""
         self._class_count = class_count
-        self._forget_history()
+        self._reset_history()
         self._apply(entry)
 
     def update(self, entry: Endpoint) -> None:
         """Apply a changed entry of the endpoint list; a restart of the endpoint clears its history."""
         if entry.started_at_ns != self.started_at_ns:
-            self._forget_history()
+            self._reset_history()
         self._apply(entry)
 
     def start_attempt(self, now_ns: int) -> None:
         """Record the start of an attempt."""
         if not self.in_flight:
-            self.answers.restart_wait(now_ns)
+            self.responses.restart_wait(now_ns)
         self.in_flight += 1
 
     def end_attempt(self) -> None:
@@ -89,8 +89,8 @@
     def record_outcome(self, failed: bool, now_ns: int) -> None:
         """Record whether an attempt failed."""
         self.failure_rate.record(failed, now_ns)
-        self.latency_ratio.renew(now_ns)
-        self.answers.record(failed, now_ns)
+        self.latency_ratio.mark_updated(now_ns)
+        self.responses.record(failed, now_ns)
         self.ejection.record(failed)
 
     def drops_duplicates_of(self, other: EndpointState, scope: DeduplicationScope) -> bool:
@@ -108,10 +108,10 @@
         self.started_at_ns = entry.started_at_ns
         self.weight = max(entry.weight, MIN_WEIGHT)
 
-    def _forget_history(self) -> None:
+    def _reset_history(self) -> None:
         """Clear all but the entry of the endpoint list and the attempts in flight."""
         self.failure_rate = FailureRateEstimate(self._class_count)
         self.latency_ratio = LatencyRatioEstimate()
-        self.answers = AnswerHistory()
+        self.responses = ResponseHistory()
         self.ejection = EjectionState()
         self.connections = ConnectionUsage()
--- a/balancer/policy/endpoints/health_checks.py
+++ b/balancer/policy/endpoints/health_checks.py
@@ -36,4 +36,4 @@
         if is_healthy:
             self._subsets.subset_of(endpoint).record_health_check_duration(event.duration_ns)
         for request_id in waiting:
-            self._probe_rounds.record_answer(request_id, endpoint, is_healthy, event.duration_ns, now_ns)
+            self._probe_rounds.record_response(request_id, endpoint, is_healthy, event.duration_ns, now_ns)
--- a/balancer/policy/endpoints/membership.py
+++ b/balancer/policy/endpoints/membership.py
@@ -29,7 +29,7 @@
     def apply(self, update: EndpointUpdate) -> None:
         """Apply an endpoint list or changes of it; removed endpoints stay until their last attempt ends."""
         if update.kind != EndpointUpdateKind.CACHED:
-            self.polling.record_reply()
+            self.polling.record_response()
         for entry in update.endpoints:
             self._add_or_update(entry)
         if update.kind != EndpointUpdateKind.DELTA:
--- a/balancer/policy/endpoints/outlier_detection.py
+++ b/balancer/policy/endpoints/outlier_detection.py
@@ -20,19 +20,19 @@
 REJECTIONS_TO_EJECT = 8
 """Rejections in a row that eject an endpoint: one that only rejects is draining, not overloaded."""
 
-LOW_BROKEN_SHARE = 0.08
+LOW_BROKEN_CONNECTION_SHARE = 0.08
 """Share of attempts with a broken connection up to which a single one is taken as the endpoint's fault."""
 
-CHANCE_LIMIT = 0.01
+SIGNIFICANCE_LEVEL = 0.01
 """Probability of a row of broken connections below which it is not taken for chance."""
 
-BROKEN_SMOOTHING = 0.03
+BROKEN_CONNECTION_SMOOTHING = 0.03
 """Weight of an attempt in the smoothed share of broken connections: about the last thirty count."""
 
 SUCCESS_PROTECTION_NS = SECOND_NS // 2
 """Time after a success in which an endpoint is not ejected (ns): it serves at least some requests."""
 
-MIN_SILENT_IN_FLIGHT = 3
+MIN_IN_FLIGHT_TO_EJECT = 3
 """Attempts in flight from which a silent endpoint is ejected: one alone may be a long request."""
 
 MIN_EJECTION_NS = 2 * SECOND_NS
@@ -61,7 +61,7 @@
         self._has_health_checks = settings.health_checks_enabled
         self._random = random
         self._subsets = subsets
-        self._broken_share = 0.0
+        self._broken_connection_share = 0.0
         """Smoothed share of attempts at endpoints in service whose connection was broken."""
 
     def record_connection(self, endpoint: EndpointState, outcome: AttemptOutcome, now_ns: int) -> None:
@@ -69,7 +69,7 @@
         if endpoint.ejection.is_active(now_ns):
             return
         is_broken = outcome in BROKEN_CONNECTION_OUTCOMES
-        self._broken_share += BROKEN_SMOOTHING * (is_broken - self._broken_share)
+        self._broken_connection_share += BROKEN_CONNECTION_SMOOTHING * (is_broken - self._broken_connection_share)
 
     def record_failure(self, endpoint: EndpointState, outcome: AttemptOutcome, now_ns: int) -> None:
         """Eject an endpoint that failed too often in a row and had no recent success.
@@ -78,7 +78,7 @@
         """
         if endpoint.ejection.is_active(now_ns) or outcome == AttemptOutcome.SERVER_ERROR:
             return
-        if now_ns - endpoint.answers.last_success_ns <= SUCCESS_PROTECTION_NS:
+        if now_ns - endpoint.responses.last_success_ns <= SUCCESS_PROTECTION_NS:
             return
         if endpoint.ejection.consecutive_failures >= self._failure_limit(endpoint, outcome, now_ns):
             self._eject(endpoint, now_ns)
@@ -87,9 +87,9 @@
         """Eject the silent endpoints, and return the ejected ones whose health check is due."""
         ready = [endpoint for endpoint in endpoints if endpoint.health == EndpointHealth.READY]
         for endpoint in ready:
-            if endpoint.in_flight < MIN_SILENT_IN_FLIGHT or endpoint.ejection.is_active(now_ns):
+            if endpoint.in_flight < MIN_IN_FLIGHT_TO_EJECT or endpoint.ejection.is_active(now_ns):
                 continue
-            if endpoint.answers.is_silent(now_ns):
+            if endpoint.responses.is_unresponsive(now_ns):
                 self._eject(endpoint, now_ns)
         if not self._has_health_checks:
             return []
@@ -103,7 +103,7 @@
         ejection = endpoint.ejection
         if ejection.health_check_pending and is_healthy:
             ejection.end(now_ns)
-            endpoint.answers.restart_wait(now_ns)
+            endpoint.responses.restart_wait(now_ns)
             self._subsets.mark_stale()
         elif ejection.health_check_pending and ejection.is_active(now_ns):
             self._eject(endpoint, now_ns)
@@ -121,14 +121,14 @@
         One is enough if few connections break, or if the last success is long ago. Otherwise the row has to
         be so long that chance is an unlikely cause.
         """
-        success_age_ns = now_ns - endpoint.answers.last_success_ns
-        if self._broken_share <= LOW_BROKEN_SHARE or success_age_ns >= ESTIMATE_HALF_LIFE_NS:
+        success_age_ns = now_ns - endpoint.responses.last_success_ns
+        if self._broken_connection_share <= LOW_BROKEN_CONNECTION_SHARE or success_age_ns >= ESTIMATE_HALF_LIFE_NS:
             return 1
-        return min(FAILURES_TO_EJECT, round(log(CHANCE_LIMIT) / log(self._broken_share)))
+        return min(FAILURES_TO_EJECT, round(log(SIGNIFICANCE_LEVEL) / log(self._broken_connection_share)))
 
     def _eject(self, endpoint: EndpointState, now_ns: int) -> None:
         """Eject an endpoint, with exponential backoff and jitter."""
-        doublings = min(endpoint.ejection.count, MAX_EJECTION_DOUBLINGS)
+        doublings = min(endpoint.ejection.ejections_since_success, MAX_EJECTION_DOUBLINGS)
         duration_ns = min(MIN_EJECTION_NS << doublings, MAX_EJECTION_NS)
         jitter = MIN_JITTER + JITTER_WIDTH * self._random.random()
         endpoint.ejection.eject(now_ns + int(duration_ns * jitter))
--- a/balancer/policy/requests/hung_attempts.py
+++ b/balancer/policy/requests/hung_attempts.py
@@ -30,7 +30,7 @@
     attempt = request.attempt
     if attempt.endpoint is None:
         return False
-    return attempt.endpoint.answers.newest_served_ns > attempt.started_at_ns + CYCLE_NS
+    return attempt.endpoint.responses.latest_served_start_ns > attempt.started_at_ns + CYCLE_NS
 
 
 class HungAttempts:
@@ -52,7 +52,7 @@
         """Record the outcome of an attempt; a hung one has counted as a failure of its class before."""
         attempt = request.attempt
         if not failed:
-            endpoint.answers.record_served(attempt.started_at_ns)
+            endpoint.responses.record_served_attempt(attempt.started_at_ns)
         if attempt.is_hung:
             self._failure_rate += HUNG_SMOOTHING * (failed - self._failure_rate)
         if not (failed and attempt.is_hung):
--- a/balancer/policy/requests/outcome_recorder.py
+++ b/balancer/policy/requests/outcome_recorder.py
@@ -50,7 +50,7 @@
         if outcome in UNINFORMATIVE_OUTCOMES:
             self._overload.discard_attempt(endpoint)
             if outcome == AttemptOutcome.CLIENT_ERROR:  # an answer nevertheless
-                endpoint.answers.restart_wait(now_ns)
+                endpoint.responses.restart_wait(now_ns)
             return
         if outcome == AttemptOutcome.CONNECT_FAILED:
             self._budget.record_connect_failure(now_ns)
@@ -98,4 +98,4 @@
         if failed:
             self._outliers.record_failure(endpoint, outcome, now_ns)
         elif capacity(self._settings, endpoint, now_ns) >= 1:
-            self._subsets.subset_of(endpoint).allowance.record_answer()
+            self._subsets.subset_of(endpoint).warm_up_bucket.record_response()
--- a/balancer/policy/selection/connection_budget.py
+++ b/balancer/policy/selection/connection_budget.py
@@ -26,8 +26,8 @@
 class ConnectionBudget:
     """Adapts the fan-in, the number of sidecars that may connect to one endpoint."""
 
-    def __init__(self, instance_count: int) -> None:
-        self._instance_count = instance_count
+    def __init__(self, sidecar_count: int) -> None:
+        self._sidecar_count = sidecar_count
         self._decreased_at_ns = -HOUR_NS
         self.fan_in = INITIAL_FAN_IN
 
@@ -48,4 +48,4 @@
         """
         zone_count = bool(local_count) + bool(remote_count) or 1
         endpoint_count = local_count + remote_count
-        return int(self.fan_in * endpoint_count / self._instance_count / zone_count)
+        return int(self.fan_in * endpoint_count / self._sidecar_count / zone_count)
--- a/balancer/policy/selection/endpoint_picker.py
+++ b/balancer/policy/selection/endpoint_picker.py
@@ -11,7 +11,7 @@
 from balancer.policy.selection.subset import SubsetSelector, ZoneSubset
 from balancer.policy_api import Idempotency, Settings
 
-USUAL_FAILURE_RATE = 0.3
+TOLERATED_FAILURE_RATE = 0.3
 """Failure rate (share) up to which an endpoint is not avoided: one failure among successes is below it."""
 
 NON_IDEMPOTENT_FAILURE_COST = 4.0
@@ -67,7 +67,7 @@
             endpoint
             for endpoint in eligible
             if not endpoint.in_flight
-            and endpoint.failure_rate.expected(class_index, now_ns) <= USUAL_FAILURE_RATE
+            and endpoint.failure_rate.expected(class_index, now_ns) <= TOLERATED_FAILURE_RATE
         ]
         return idle_and_healthy or eligible
 
@@ -96,9 +96,9 @@
         return load, self._expected_time_ns(endpoint, failure_rate, class_index, now_ns)
 
     def _load(self, endpoint: EndpointState, failure_rate: float, class_index: int) -> float:
-        if failure_rate <= USUAL_FAILURE_RATE:
+        if failure_rate <= TOLERATED_FAILURE_RATE:
             return endpoint.in_flight
-        excess = failure_rate - USUAL_FAILURE_RATE
+        excess = failure_rate - TOLERATED_FAILURE_RATE
         mean_time_ns = self._latency.means_ns[class_index] or self._objectives_ns[class_index]
         return endpoint.in_flight + excess * self._failure_costs_ns[class_index] / mean_time_ns
 
--- a/balancer/policy/selection/probe_rounds.py
+++ b/balancer/policy/selection/probe_rounds.py
@@ -10,7 +10,7 @@
 from balancer.policy.timer_tokens import encode_probe_round
 from balancer.policy_api import EndpointHealth
 
-FIRST_ANSWER_DELAY_NS = 1
+FIRST_RESPONSE_DELAY_NS = 1
 """Delay after the first answer (ns): other answers of the same scheduling tick are compared with it."""
 
 
@@ -46,9 +46,9 @@
             return False
         may_cross = self._router.may_cross_zones(request)
         if request.probe is None:
-            may_cross = may_cross and self._router.spills_over()
+            may_cross = may_cross and self._router.draw_spillover()
             zone = self._subsets.remote if may_cross else self._subsets.local
-            endpoint = zone.allowance.take(now_ns)
+            endpoint = zone.warm_up_bucket.draw_endpoint(now_ns)
             if endpoint is not None:
                 self._dispatcher.dispatch(request, endpoint, now_ns)
                 return True
@@ -62,7 +62,7 @@
         if request is not None and not request.attempt_count:
             self._end(request, now_ns)
 
-    def record_answer(
+    def record_response(
         self, request_id: int, endpoint: EndpointState, is_healthy: bool, duration_ns: int, now_ns: int
     ) -> None:
         """Record the answer of an endpoint that was probed for a request."""
@@ -73,9 +73,9 @@
         probe.record_result()
         if is_healthy:
             if probe.fastest is None:
-                timer = api.SetTimer(FIRST_ANSWER_DELAY_NS, encode_probe_round(request_id))
+                timer = api.SetTimer(FIRST_RESPONSE_DELAY_NS, encode_probe_round(request_id))
                 self._actions.append(timer)
-            self._load_probing.record_answer(probe, endpoint, duration_ns)
+            self._load_probing.record_response(probe, endpoint, duration_ns)
         if not probe.unanswered and probe.fastest is not None:
             self._end(request, now_ns)
 
--- a/balancer/policy/selection/slow_start.py
+++ b/balancer/policy/selection/slow_start.py
@@ -24,7 +24,7 @@
     return initial + (1 - initial) * max(age_ns, 0) / duration_ns
 
 
-class WarmUpAllowance:
+class WarmUpTokenBucket:
     """The attempts that endpoints may get while they warm up.
 
     Each answer of a warm endpoint earns the warming ones a part of an attempt, by their capacities. The rate
@@ -35,30 +35,30 @@
         self._settings = settings
         self._random = random
         self._members: list[EndpointState] = []
-        self._attempts = 0.0
+        self._tokens = 0.0
         """Attempts that may be sent now."""
-        self._earned_per_answer = 0.0
+        self._tokens_per_response = 0.0
         """Attempts earned by one answer of a warm endpoint."""
-        self._answer_count = 0
+        self._response_count = 0
         """Answers of warm endpoints in this control cycle."""
-        self._answer_rate = 0.0
+        self._response_rate = 0.0
         """Answers of one warm endpoint per control cycle, smoothed."""
-        self._peak_rate = 0.0
+        self._peak_response_rate = 0.0
         """The highest smoothed rate, decaying."""
 
-    def use_subset(self, members: list[EndpointState], now_ns: int) -> None:
+    def set_members(self, members: list[EndpointState], now_ns: int) -> None:
         """Set the subset. While all its endpoints are warm nothing is saved up for a later bulk restart."""
         self._members = members
         capacities = self._capacities(now_ns)
         warm_count = sum(share >= 1 for share in capacities)
-        self._earned_per_answer = (sum(capacities) - warm_count) / max(1, warm_count)
+        self._tokens_per_response = (sum(capacities) - warm_count) / max(1, warm_count)
         if warm_count == len(members):
-            self._attempts = 0.0
+            self._tokens = 0.0
 
-    def record_answer(self) -> None:
+    def record_response(self) -> None:
         """Record an answer of a warm endpoint."""
-        self._answer_count += 1
-        self._attempts = min(1.0, self._attempts + self._earned_per_answer)
+        self._response_count += 1
+        self._tokens = min(1.0, self._tokens + self._tokens_per_response)
 
     def end_cycle(self, candidate_count: int, now_ns: int) -> None:
         """Add the attempts by which the earnings of this control cycle fell short of recent ones.
@@ -67,18 +67,18 @@
         """
         capacities = self._capacities(now_ns)
         warm = [member for member, share in zip(self._members, capacities, strict=True) if share >= 1]
-        self._update_answer_rate(warm, now_ns)
+        self._update_response_rate(warm, now_ns)
         if self._members:
             warming_capacity = sum(capacities) - len(warm)
-            self._add_missed_attempts(warming_capacity, 0.0 if warm else self._min_attempts(candidate_count))
-        self._answer_count = 0
+            self._add_missing_tokens(warming_capacity, 0.0 if warm else self._min_tokens(candidate_count))
+        self._response_count = 0
 
-    def take(self, now_ns: int) -> EndpointState | None:
+    def draw_endpoint(self, now_ns: int) -> EndpointState | None:
         """Spend an attempt on a warming endpoint; return None if there is no allowance or no such endpoint.
 
         An endpoint gets none while its attempts in flight reach its capacity times the mean of the warm ones.
         """
-        if self._attempts < 1:
+        if self._tokens < 1:
             return None
         capacities = self._capacities(now_ns)
         shares = list(zip(self._members, capacities, strict=True))
@@ -92,27 +92,27 @@
         if not warming:
             return None
         [(endpoint, _)] = self._random.choices(warming, weights=[share for _, share in warming])
-        self._attempts -= 1
+        self._tokens -= 1
         return endpoint
 
     def _capacities(self, now_ns: int) -> list[float]:
         return [capacity(self._settings, member, now_ns) for member in self._members]
 
-    def _update_answer_rate(self, warm: list[EndpointState], now_ns: int) -> None:
+    def _update_response_rate(self, warm: list[EndpointState], now_ns: int) -> None:
         """Update the answer rate, unless all warm endpoints with attempts in flight are silent."""
         busy = [endpoint for endpoint in warm if endpoint.in_flight]
-        all_silent = bool(busy) and all(endpoint.answers.is_silent(now_ns) for endpoint in busy)
+        all_silent = bool(busy) and all(endpoint.responses.is_unresponsive(now_ns) for endpoint in busy)
         if warm and not all_silent:
-            self._answer_rate += RATE_SMOOTHING * (self._answer_count / len(warm) - self._answer_rate)
-        self._peak_rate = max(self._answer_rate, self._peak_rate * PEAK_DECAY)
+            self._response_rate += RATE_SMOOTHING * (self._response_count / len(warm) - self._response_rate)
+        self._peak_response_rate = max(self._response_rate, self._peak_response_rate * PEAK_DECAY)
 
-    def _min_attempts(self, candidate_count: int) -> float:
+    def _min_tokens(self, candidate_count: int) -> float:
         """Return this sidecar's part, per control cycle, of one request per second and endpoint."""
         return candidate_count / self._settings.instance_count * CYCLE_NS / SECOND_NS
 
-    def _add_missed_attempts(self, warming_capacity: float, min_attempts: float) -> None:
+    def _add_missing_tokens(self, warming_capacity: float, min_tokens: float) -> None:
         """Add the attempts by which the answers of this control cycle fell short of the usual number."""
-        usual = max(self._peak_rate * warming_capacity, min_attempts)
-        missed = usual - self._answer_count * self._earned_per_answer
+        usual = max(self._peak_response_rate * warming_capacity, min_tokens)
+        missed = usual - self._response_count * self._tokens_per_response
         if missed > 0:
-            self._attempts = min(max(1.0, missed), self._attempts + missed)
+            self._tokens = min(max(1.0, missed), self._tokens + missed)
--- a/balancer/policy/selection/subset.py
+++ b/balancer/policy/selection/subset.py
@@ -5,19 +5,19 @@
 from balancer.policy.endpoints.endpoint_state import EndpointState
 from balancer.policy.selection.attempt_accounting import AttemptAccounting
 from balancer.policy.selection.connection_budget import ConnectionBudget
-from balancer.policy.selection.slow_start import WarmUpAllowance, capacity
+from balancer.policy.selection.slow_start import WarmUpTokenBucket, capacity
 from balancer.policy_api import EndpointId, Settings
 
-MIN_SUBSET_SIZE = 4
+MIN_SUBSET_SIZE_PRICED = 4
 """Size of a subset without load (endpoints) where connections have a price."""
 
-MIN_FREE_SUBSET_SIZE = 8
+MIN_SUBSET_SIZE_UNPRICED = 8
 """Size of a subset without load (endpoints) where connections have no price."""
 
-GROWTH = 1.5
+ENDPOINTS_PER_PEAK_ATTEMPT = 1.5
 """Further endpoints per attempt in flight at the peak, so that an idle endpoint is likely to be found."""
 
-CROWDED_IN_FLIGHT = 2
+BURST_IN_FLIGHT_PER_ENDPOINT = 2
 """Attempts in flight per endpoint of the subsets beyond which they grow within the control cycle."""
 
 MAX_EJECTION_SHARE = 0.5
@@ -30,13 +30,13 @@
     def __init__(self, settings: Settings, random: Random) -> None:
         self.ranked: list[EndpointState] = []
         self.members: list[EndpointState] = []
-        self.allowance = WarmUpAllowance(settings, random)
-        self.fastest_probe_ns = 0
+        self.warm_up_bucket = WarmUpTokenBucket(settings, random)
+        self.fastest_health_check_ns = 0
         """Duration of the fastest successful health check; 0 if there was none."""
 
     def record_health_check_duration(self, duration_ns: int) -> None:
         """Record how long a successful health check took."""
-        self.fastest_probe_ns = min(self.fastest_probe_ns or duration_ns, duration_ns)
+        self.fastest_health_check_ns = min(self.fastest_health_check_ns or duration_ns, duration_ns)
 
 
 class SubsetSelector:
@@ -49,7 +49,7 @@
         self._accounting = accounting
         self._budget = budget
         has_connection_price = settings.connection_price + settings.handshake_price > 0
-        self._min_size = MIN_SUBSET_SIZE if has_connection_price else MIN_FREE_SUBSET_SIZE
+        self._min_size = MIN_SUBSET_SIZE_PRICED if has_connection_price else MIN_SUBSET_SIZE_UNPRICED
         self._is_stale = True
         self.local = ZoneSubset(settings, random)
         self.remote = ZoneSubset(settings, random)
@@ -58,7 +58,7 @@
         """Return the zone subset that an endpoint belongs to."""
         return self.local if endpoint.zone == self._settings.local_zone else self.remote
 
-    def use_ranking(self, ranked: list[EndpointState]) -> None:
+    def set_ranking(self, ranked: list[EndpointState]) -> None:
         """Select from these endpoints from now on; they are in the order of preference."""
         self.local.ranked = [endpoint for endpoint in ranked if self.subset_of(endpoint) is self.local]
         self.remote.ranked = [endpoint for endpoint in ranked if self.subset_of(endpoint) is self.remote]
@@ -79,11 +79,11 @@
         size = self.target_size()
         for zone in (self.local, self.remote):
             zone.members = self._select_members(zone.ranked, size, now_ns)
-            zone.allowance.use_subset(zone.members, now_ns)
+            zone.warm_up_bucket.set_members(zone.members, now_ns)
 
     def target_size(self) -> int:
         """Return the size of a subset: it grows with the attempts in flight, within the connection budget."""
-        wanted = self._min_size + int(GROWTH * self._accounting.peak_in_flight)
+        wanted = self._min_size + int(ENDPOINTS_PER_PEAK_ATTEMPT * self._accounting.peak_in_flight)
         return max(self._min_size, min(wanted, self._endpoints_per_zone()))
 
     def reachable_endpoints(self, zone: ZoneSubset) -> list[EndpointState]:
@@ -93,7 +93,7 @@
     def grow_in_burst(self, is_overloaded: bool) -> None:
         """Have the subsets grow at once if their endpoints are crowded, except during overload."""
         member_count = len(self.local.members) + len(self.remote.members)
-        limit = max(self._accounting.peak_in_flight, CROWDED_IN_FLIGHT * member_count)
+        limit = max(self._accounting.peak_in_flight, BURST_IN_FLIGHT_PER_ENDPOINT * member_count)
         if self._accounting.in_flight > limit and not is_overloaded:
             self._accounting.raise_peak()
             self.mark_stale()
@@ -103,7 +103,7 @@
         self._accounting.end_cycle(is_overloaded)
         self.select(now_ns)
         for zone in (self.local, self.remote):
-            zone.allowance.end_cycle(len(zone.ranked), now_ns)
+            zone.warm_up_bucket.end_cycle(len(zone.ranked), now_ns)
 
     def retained_ids(self) -> set[EndpointId]:
         """Return the endpoints whose idle connections stay open."""
--- a/balancer/policy/selection/zone_router.py
+++ b/balancer/policy/selection/zone_router.py
@@ -25,7 +25,7 @@
         has_remote = bool(self._subsets.remote.members)
         return has_remote and self._overload.spillover.is_worth_crossing(request.request_class)
 
-    def spills_over(self) -> bool:
+    def draw_spillover(self) -> bool:
         """Draw whether a request that may cross zones does so, with the spillover ratio as probability."""
         return self._random.random() < self._overload.spillover.ratio
 
@@ -38,10 +38,10 @@
         local = self._subsets.local
         remote = self._subsets.remote
         if not self.may_cross_zones(request):
-            return self._choose_in(local, request, now_ns)
-        if not local.members or self.spills_over():
-            return self._choose_in(remote, request, now_ns)
-        local_endpoint = self._choose_in(local, request, now_ns)
+            return self._choose_from_subset(local, request, now_ns)
+        if not local.members or self.draw_spillover():
+            return self._choose_from_subset(remote, request, now_ns)
+        local_endpoint = self._choose_from_subset(local, request, now_ns)
         remote_endpoint = self._picker.pick(remote, request, now_ns)
         if local_endpoint is None or remote_endpoint is None:
             return local_endpoint or remote_endpoint
@@ -55,12 +55,12 @@
         Its allowance is its own: the queues for which requests are rejected are at the warm endpoints.
         """
         self._subsets.refresh(now_ns)
-        endpoint = self._subsets.local.allowance.take(now_ns)
+        endpoint = self._subsets.local.warm_up_bucket.draw_endpoint(now_ns)
         if endpoint is None and self.may_cross_zones(request):
-            endpoint = self._subsets.remote.allowance.take(now_ns)
+            endpoint = self._subsets.remote.warm_up_bucket.draw_endpoint(now_ns)
         return endpoint
 
-    def _choose_in(self, zone: ZoneSubset, request: RequestState, now_ns: int) -> EndpointState | None:
+    def _choose_from_subset(self, zone: ZoneSubset, request: RequestState, now_ns: int) -> EndpointState | None:
         is_first_choice = not request.attempt_count and not request.probe
-        endpoint = zone.allowance.take(now_ns) if is_first_choice else None
+        endpoint = zone.warm_up_bucket.draw_endpoint(now_ns) if is_first_choice else None
         return endpoint or self._picker.pick(zone, request, now_ns)
--- a/tests/policy/test_attempt_accounting.py
+++ b/tests/policy/test_attempt_accounting.py
@@ -19,7 +19,7 @@
     for _ in range(400):
         closed += [action.endpoint_id for action in actions_of(CloseIdleConnections, harness.tick(0.25))]
     assert connected_in_burst > 20
-    assert len(harness.balancer.accounting.connected) <= subset.MIN_FREE_SUBSET_SIZE + 2
+    assert len(harness.balancer.accounting.connected) <= subset.MIN_SUBSET_SIZE_UNPRICED + 2
     assert len(set(closed)) == len(closed)
     assert len(closed) == connected_in_burst - len(harness.balancer.accounting.connected)
     assert attempts[0].endpoint_id not in closed  # its attempt is in flight
--- a/tests/policy/test_endpoint_picker.py
+++ b/tests/policy/test_endpoint_picker.py
@@ -30,8 +30,8 @@
 
 def test_idle_endpoints_are_picked_first() -> None:
     harness = BalancerHarness(settings(), endpoint_count=20)
-    picked = {harness.start_attempt().endpoint_id for _ in range(subset.MIN_FREE_SUBSET_SIZE)}
-    assert len(picked) == subset.MIN_FREE_SUBSET_SIZE
+    picked = {harness.start_attempt().endpoint_id for _ in range(subset.MIN_SUBSET_SIZE_UNPRICED)}
+    assert len(picked) == subset.MIN_SUBSET_SIZE_UNPRICED
 
 
 def test_fastest_idle_endpoint_is_picked() -> None:
@@ -115,7 +115,7 @@
         harness.complete(harness.start_attempt())
     failing.failure_rate.overall = 0.6
     failing.failure_rate.updated_at_ns = harness.now_ns
-    failing.latency_ratio.renew(harness.now_ns)
+    failing.latency_ratio.mark_updated(harness.now_ns)
     harness.balancer.overload.latency.means_ns = [50 * MILLISECOND_NS]
     picks = Counter(harness.start_attempt().endpoint_id for _ in range(12))
     assert picks[failing.id] <= 1, picks
@@ -127,7 +127,7 @@
     failing = harness.endpoint(1)
     failing.failure_rate.overall = 0.3
     failing.failure_rate.updated_at_ns = harness.now_ns
-    failing.latency_ratio.renew(harness.now_ns)
+    failing.latency_ratio.mark_updated(harness.now_ns)
     picker = harness.balancer.picker
     idempotent_time_ns = picker.expected_time_ns(failing, 0, harness.now_ns)
     assert picker.expected_time_ns(failing, 1, harness.now_ns) > 3 * idempotent_time_ns
--- a/tests/policy/test_outlier_detection.py
+++ b/tests/policy/test_outlier_detection.py
@@ -6,7 +6,7 @@
 
 from balancer.policy.endpoints import outlier_detection
 from balancer.policy.endpoints.ejection_state import EjectionState
-from balancer.policy.endpoints.endpoint_estimates import SILENCE_NS
+from balancer.policy.endpoints.endpoint_estimates import UNRESPONSIVE_AFTER_NS
 from balancer.policy.selection import subset
 from balancer.policy_api import AttemptOutcome, StartAttempt, StartHealthCheck
 from balancer.time_units import HOUR_NS, MILLISECOND_NS, SECOND_NS
@@ -16,14 +16,14 @@
 
 def test_at_most_half_of_the_subset_is_ejected() -> None:
     """If nearly all endpoints fail, they share the cause: load is shed, but no more endpoints are ejected."""
-    harness = BalancerHarness(settings(max_attempts=1), endpoint_count=subset.MIN_FREE_SUBSET_SIZE)
+    harness = BalancerHarness(settings(max_attempts=1), endpoint_count=subset.MIN_SUBSET_SIZE_UNPRICED)
     for _ in range(300):
         harness.now_ns += 5 * MILLISECOND_NS
         action = harness.request()
         if isinstance(action, StartAttempt):
             harness.complete(action, AttemptOutcome.CONNECT_FAILED, 3 * MILLISECOND_NS)
     assert isinstance(harness.request(), StartAttempt)
-    assert len(harness.subset) >= subset.MIN_FREE_SUBSET_SIZE // 2
+    assert len(harness.subset) >= subset.MIN_SUBSET_SIZE_UNPRICED // 2
 
 
 def test_half_of_the_endpoints_stay_when_the_target_size_exceeds_their_number() -> None:
@@ -79,7 +79,7 @@
         harness.complete(harness.start_attempt(), outcome, 15 * MILLISECOND_NS)
     target = harness.endpoint(1)
     target.ejection = EjectionState()
-    target.answers.last_success_ns = harness.now_ns
+    target.responses.last_success_ns = harness.now_ns
     harness.now_ns += SECOND_NS
     for _ in range(failures_to_eject):
         assert target.ejection.until_ns <= harness.now_ns
@@ -107,11 +107,11 @@
         settings(health_checks_enabled=True, gossip_enabled=True, instance_count=2), endpoint_count=4
     )
     silent = harness.endpoint(1)
-    silent.in_flight = outlier_detection.MIN_SILENT_IN_FLIGHT
-    silent.answers.restart_wait(harness.now_ns)
+    silent.in_flight = outlier_detection.MIN_IN_FLIGHT_TO_EJECT
+    silent.responses.restart_wait(harness.now_ns)
     harness.tick()
     assert silent.ejection.until_ns <= harness.now_ns
-    harness.tick(SILENCE_NS / SECOND_NS)
+    harness.tick(UNRESPONSIVE_AFTER_NS / SECOND_NS)
     assert silent.ejection.until_ns > harness.now_ns
     health_checks: list[StartHealthCheck] = []
     while not health_checks:
--- a/tests/policy/test_subset.py
+++ b/tests/policy/test_subset.py
@@ -14,19 +14,19 @@
     harness = BalancerHarness(settings(connection_price=0.05), endpoint_count=40)
     for _ in range(50):
         harness.complete(harness.start_attempt())
-    assert len(harness.subset) == subset.MIN_SUBSET_SIZE
+    assert len(harness.subset) == subset.MIN_SUBSET_SIZE_PRICED
     for _ in range(12):
         harness.start_attempt()
     harness.tick()
     harness.start_attempt()
-    assert len(harness.subset) > subset.MIN_SUBSET_SIZE + 10
+    assert len(harness.subset) > subset.MIN_SUBSET_SIZE_PRICED + 10
 
 
 def test_subset_grows_within_a_cycle_during_a_burst() -> None:
     harness = BalancerHarness(settings(connection_price=0.05), endpoint_count=40)
     # As at a start: nothing has been answered yet.
     attempts = Counter(harness.start_attempt().endpoint_id for _ in range(40))
-    assert len(attempts) > 3 * subset.MIN_SUBSET_SIZE, attempts
+    assert len(attempts) > 3 * subset.MIN_SUBSET_SIZE_PRICED, attempts
     assert max(attempts.values()) <= 4, attempts
 
 
@@ -39,7 +39,7 @@
         harness.request()
     harness.tick()
     harness.balancer.subsets.select(harness.now_ns)
-    assert len(harness.subset) == subset.MIN_SUBSET_SIZE
+    assert len(harness.subset) == subset.MIN_SUBSET_SIZE_PRICED
 
 
 def test_removed_endpoint_is_replaced_and_the_others_stay() -> None:
