--- a/balancer/policy/endpoints/__init__.py
+++ b/balancer/policy/endpoints/__init__.py
@@ -1,1 +1,1 @@
-"""What is known of each endpoint, and which endpoints there are."""
+"""The endpoint list, and what this sidecar has observed about each endpoint in it."""
--- a/balancer/policy/endpoints/discovery_polling.py
+++ b/balancer/policy/endpoints/discovery_polling.py
@@ -6,17 +6,23 @@
 from balancer.time_units import SECOND_NS
 
 POLL_SPREAD_SHARE = 0.4
-"""Share of the poll window over which sidecars spread their first poll and those after a failure."""
+"""Part of the poll window in which the first poll, and a poll after a failed one, is placed at random.
+
+The sidecars would otherwise all poll discovery at the same time.
+"""
 
 MAX_POLL_SPREAD_NS = 1.5 * SECOND_NS
-"""Longest spread: a change has to be known 6 s after discovery had it."""
+"""Upper bound of the spread (ns): a sidecar has to know a change at most 6 s after discovery does."""
 
 MIN_RETRY_DELAY_SHARE = 0.25
-"""Share of the spread that passes at least before the poll after a failed one, to spare discovery."""
+"""Minimum delay of the poll after a failed one (share of the spread), to limit the load on discovery."""
 
 
 class DiscoveryPolling:
-    """Decides when to poll discovery. Where lists are pushed it never does."""
+    """Decides when to poll discovery; never if discovery pushes its endpoint lists.
+
+    A poll starts a watch of the endpoint list. While the watch works, no further poll is needed.
+    """
 
     def __init__(self, settings: Settings, random: Random) -> None:
         self._polls_discovery = settings.polls_discovery
@@ -27,18 +33,18 @@
         self.spread_ns = min(MAX_POLL_SPREAD_NS, POLL_SPREAD_SHARE * settings.discovery_poll_window_ns)
 
     def schedule(self, now_ns: int, min_delay_share: float = 0.0) -> None:
-        """Schedule a poll at a random time within the spread, after at least a share of it."""
+        """Schedule a poll at a random time within the spread, but not in its first `min_delay_share`."""
         self._is_watching = not self._polls_discovery
         delay = min_delay_share + (1 - min_delay_share) * self._random.random()
         self._next_poll_ns = now_ns + int(delay * self.spread_ns)
 
     def is_due(self, now_ns: int) -> bool:
-        """Return whether to poll now; if so, schedule a further poll in case no reply comes."""
+        """Return whether to poll now; if so, schedule the next poll in case discovery does not respond."""
         if self._is_watching or now_ns < self._next_poll_ns:
             return False
         self._next_poll_ns = now_ns + self._poll_window_ns // 2
         return True
 
     def record_response(self) -> None:
-        """Record that discovery has replied: no poll is needed until its watch fails."""
+        """Record that discovery has responded: no poll is needed until the watch fails."""
         self._is_watching = True
--- a/balancer/policy/endpoints/endpoint_estimates.py
+++ b/balancer/policy/endpoints/endpoint_estimates.py
@@ -1,7 +1,7 @@
-"""Estimates about one endpoint, learned from how its attempts end.
+"""Estimates about one endpoint, computed from the outcomes of the attempts at it.
 
-Each estimate is changed by its own methods only. An estimate of which no new sample arrives loses weight with
-time, because an endpoint that was slow or failing a minute ago is likely to have recovered.
+The attributes of an estimate are changed by its own methods only. An estimate that gets no new samples loses
+weight with time, because an endpoint that was slow or failing a minute ago is likely to have recovered.
 """
 
 from typing import NamedTuple
@@ -9,33 +9,39 @@
 from balancer.time_units import HOUR_NS, SECOND_NS
 
 SMOOTHING_FACTOR = 0.25
-"""Weight of a new sample in a smoothed estimate (share): about the last four samples count."""
+"""Weight of a new sample in the exponential moving averages (share): about the last four samples count."""
 
 ESTIMATE_HALF_LIFE_NS = 24 * SECOND_NS
-"""Age at which an estimate has half its weight (ns): slow spells of an endpoint last about that long."""
+"""Age at which an estimate has half its weight (ns): an endpoint is usually slow for about that long."""
 
 UNRESPONSIVE_AFTER_NS = SECOND_NS
-"""Time without an answer after which an endpoint is silent (ns): even a long queue answers more often."""
+"""Time without a response after which an endpoint is unresponsive (ns).
+
+Even an endpoint with a long queue sends responses more often than that.
+"""
 
 
 def age_weight(updated_at_ns: int, now_ns: int) -> float:
-    """Return the weight of an estimate: 1 when just updated, 1/2 after its half-life, then towards 0."""
+    """Return the weight of an estimate by its age: 1 when just updated, 1/2 at the half-life, then less."""
     return ESTIMATE_HALF_LIFE_NS / (ESTIMATE_HALF_LIFE_NS + max(0, now_ns - updated_at_ns))
 
 
 class ClassFailureRate(NamedTuple):
-    """The smoothed failure rate of one request class at an endpoint."""
+    """The moving average of the failure rate of one request class at an endpoint."""
 
     rate: float
     updated_at_ns: int
 
 
 NO_FAILURES = ClassFailureRate(0.0, 0)
-"""The estimate before the first outcome; shared, as most endpoints of a long list never get a request."""
+"""The estimate before the first outcome.
+
+One object is shared to save memory, as most endpoints of a long list never get a request.
+"""
 
 
 class FailureRateEstimate:
-    """The smoothed share of attempts that fail, over all request classes and for each one."""
+    """The moving average of the share of attempts that fail, over all request classes and for each class."""
 
     __slots__ = ("_by_class", "overall", "updated_at_ns")
 
@@ -45,21 +51,21 @@
         self._by_class = [NO_FAILURES] * class_count
 
     def record(self, failed: bool, now_ns: int) -> None:
-        """Record the outcome of an attempt of any class."""
+        """Update the overall failure rate with the outcome of an attempt."""
         self.overall += SMOOTHING_FACTOR * (failed - self.overall)
         self.updated_at_ns = now_ns
 
     def record_for_class(self, class_index: int, failed: bool, now_ns: int) -> None:
-        """Record the outcome of an attempt of one class."""
+        """Update the failure rate of one class with the outcome of an attempt."""
         rate = self._by_class[class_index].rate
         self._by_class[class_index] = ClassFailureRate(rate + SMOOTHING_FACTOR * (failed - rate), now_ns)
 
     def expected(self, class_index: int, now_ns: int) -> float:
-        """Return the failure rate to expect for a class: the higher of its own and the overall one.
+        """Return the expected failure rate of a class: the higher of its own and the overall rate.
 
-        An endpoint may fail all requests of one class and serve those of the others.
+        Both are weighted by their age. An endpoint may fail all requests of one class and serve the others.
         """
-        # Rates are mostly zero and this is called for each candidate of each attempt: hence the two branches.
+        # This is called for each candidate of each attempt; most rates are zero and need no weight.
         overall = self.overall
         if overall:
             overall *= age_weight(self.updated_at_ns, now_ns)
@@ -70,43 +76,49 @@
 
 
 class LatencyRatioEstimate:
-    """The smoothed ratio of an endpoint's latency to the mean latency of the request's class."""
+    """The moving average of an endpoint's latency in multiples of the mean latency of the request class."""
 
     __slots__ = ("updated_at_ns", "value")
 
     def __init__(self) -> None:
         self.value = 1.0
         self.updated_at_ns = 0
-        """When the endpoint last answered, with a success or a failure; 0 if it never did."""
+        """Time of the last recorded outcome of an attempt, successful or failed; 0 if there was none."""
 
     def record(self, ratio: float) -> None:
-        """Record the ratio of a successful answer; the first one replaces the default."""
+        """Update the average with the ratio of a successful response.
+
+        If it belongs to the first outcome, it replaces the default.
+        """
         known_ratio = self.value if self.updated_at_ns else ratio
         self.value = known_ratio + SMOOTHING_FACTOR * (ratio - known_ratio)
 
     def mark_updated(self, now_ns: int) -> None:
-        """Record that the endpoint answered, which restores the full weight of the estimate."""
+        """Record the time of an outcome, successful or failed: the estimate has its full weight again."""
         self.updated_at_ns = now_ns
 
     def expected(self, now_ns: int) -> float:
-        """Return the ratio to expect; it approaches 1 as the estimate ages."""
+        """Return the expected ratio; it approaches 1 as the estimate ages."""
         return 1 + (self.value - 1) * age_weight(self.updated_at_ns, now_ns)
 
 
 class ResponseHistory:
-    """When an endpoint last served requests, and since when it owes an answer."""
+    """When an endpoint last served requests, and since when a response from it is outstanding."""
 
     __slots__ = ("last_success_ns", "latest_served_start_ns", "waiting_since_ns")
 
     def __init__(self) -> None:
         self.last_success_ns = -HOUR_NS
         self.waiting_since_ns = 0
-        """Start of the present wait for any answer."""
+        """Start of the current wait for a response.
+
+        Each outcome restarts the wait, and so does the start of an attempt while no other is in flight.
+        """
         self.latest_served_start_ns = 0
-        """Start time of the most recently started attempt that succeeded."""
+        """Latest start time of all attempts that succeeded; an older attempt in flight has been overtaken."""
 
     def record(self, failed: bool, now_ns: int) -> None:
-        """Record an answer."""
+        """Record the outcome of an attempt, which ends the wait for a response."""
         self.waiting_since_ns = now_ns
         if not failed:
             self.last_success_ns = now_ns
@@ -116,9 +128,9 @@
         self.latest_served_start_ns = max(self.latest_served_start_ns, started_at_ns)
 
     def restart_wait(self, now_ns: int) -> None:
-        """Measure the wait for an answer from now on."""
+        """Measure the wait for a response from now on."""
         self.waiting_since_ns = now_ns
 
     def is_unresponsive(self, now_ns: int) -> bool:
-        """Return whether the endpoint has answered nothing for so long that queueing cannot be the cause."""
+        """Return whether no response has arrived for so long that queueing cannot be the cause."""
         return now_ns - self.waiting_since_ns > UNRESPONSIVE_AFTER_NS
--- a/balancer/policy/endpoints/endpoint_maintenance.py
+++ b/balancer/policy/endpoints/endpoint_maintenance.py
@@ -8,7 +8,7 @@
 
 
 class EndpointMaintenance:
-    """Maintains the endpoints once per control cycle."""
+    """Maintains the endpoints each time the timer of the control cycle fires."""
 
     def __init__(
         self,
@@ -23,7 +23,10 @@
         self._outliers = outliers
 
     def run(self, is_overloaded: bool, now_ns: int) -> list[api.Action]:
-        """Select the subsets and eject silent endpoints; return the actions that this requires."""
+        """Select the subsets, eject unresponsive endpoints and return the actions that follow.
+
+        These close idle connections, start health checks of ejected endpoints and poll discovery.
+        """
         self._subsets.end_cycle(is_overloaded, now_ns)
         to_close = self._accounting.release_connections(self._subsets.retained_ids())
         to_check = self._outliers.check(self._membership.endpoints.values(), now_ns)
--- a/balancer/policy/endpoints/endpoint_ranking.py
+++ b/balancer/policy/endpoints/endpoint_ranking.py
@@ -1,4 +1,4 @@
-"""The ranking of the endpoints by this sidecar, from which it chooses its subset."""
+"""The order in which this sidecar prefers endpoints; the first ones form its subset."""
 
 from collections.abc import Iterable
 from math import log
@@ -7,19 +7,20 @@
 from balancer.policy_api import EndpointHealth, EndpointId
 
 _HASH_RANGE = 2**64
-"""Number of values that a rank hash may have."""
+"""Number of possible values of a rank hash."""
 
 
 def rank_endpoints(endpoints: Iterable[EndpointState]) -> list[EndpointState]:
-    """Return the ready endpoints, the preferred first; a changed list moves little of the order.
+    """Return the ready endpoints in the order of preference; a changed list changes little of the order.
 
-    This is weighted rendezvous hashing by -log(hash) / weight (Schindelhauer and Schomaker, SPAA 2005).
+    This is weighted rendezvous hashing: the sort key is -log(hash) / weight, with the hash scaled to the range
+    from 0 to 1 (Schindelhauer and Schomaker, SPAA 2005).
     """
     ready = [endpoint for endpoint in endpoints if endpoint.health == EndpointHealth.READY]
     return sorted(ready, key=_rank)
 
 
 def _rank(endpoint: EndpointState) -> tuple[float, EndpointId]:
-    """Return the sort key of an endpoint; its id decides between equal hashes."""
+    """Return the sort key of an endpoint; the id breaks ties."""
     uniform = (endpoint.rank_hash + 1) / _HASH_RANGE
     return -log(uniform) / endpoint.weight, endpoint.id
--- a/balancer/policy/endpoints/endpoint_state.py
+++ b/balancer/policy/endpoints/endpoint_state.py
@@ -1,4 +1,4 @@
-"""The state of one endpoint: its entry in the endpoint list, the load sent to it and how it answers."""
+"""The state of one endpoint: its list entry, the attempts in flight, and the outcomes of earlier attempts."""
 
 from __future__ import annotations
 
@@ -12,20 +12,20 @@
 from balancer.policy_api import DeduplicationScope, Endpoint
 
 MIN_WEIGHT = 1e-3
-"""Lower bound of a registered weight (relative size): the ranking divides by the weight."""
+"""Lower bound of a registered weight, which is relative to other endpoints: the ranking divides by it."""
 
 
 class ConnectionUsage:
-    """The connections that the attempts of this sidecar use at one endpoint."""
+    """The number of connections that the attempts of this sidecar use at one endpoint."""
 
     __slots__ = ("count",)
 
     def __init__(self) -> None:
         self.count = 0
-        """The most connections that were needed at once."""
+        """Largest number of connections that were needed at once since they were last closed."""
 
     def reserve(self, in_flight: int, streams_per_connection: int) -> bool:
-        """Reserve a connection for the last of the attempts in flight; return whether it is a new one."""
+        """Reserve a connection for the newest attempt in flight, and return whether it needs a new one."""
         if in_flight <= self.count * streams_per_connection:
             return False
         self.count += 1
@@ -37,7 +37,7 @@
 
 
 class EndpointState:
-    """An endpoint as this sidecar knows it."""
+    """What this sidecar knows about one endpoint."""
 
     __slots__ = (
         "_class_count",
@@ -61,11 +61,14 @@
         number = int.from_bytes(entry.id, "little")
         self.id = entry.id
         self.rank_hash = mix64(number ^ rank_salt)
-        """Orders the endpoints for this sidecar."""
+        """Determines the rank of the endpoint. It differs between sidecars, so that their subsets differ."""
         self.affinity_hash = mix64(number)
-        """Orders the endpoints for all sidecars alike, once the hash of a key is mixed in."""
+        """Determines, together with the hash of a key, the order of endpoints for that key.
+
+        It is the same at all sidecars.
+        """
         self.in_flight = 0
-        """Attempts of this sidecar that have not ended."""
+        """Number of attempts of this sidecar that have not ended."""
         self._class_count = class_count
         self._reset_history()
         self._apply(entry)
@@ -83,18 +86,21 @@
         self.in_flight += 1
 
     def end_attempt(self) -> None:
-        """Record the end of an attempt, whatever its outcome."""
+        """Record the end of an attempt, with any outcome."""
         self.in_flight -= 1
 
     def record_outcome(self, failed: bool, now_ns: int) -> None:
-        """Record whether an attempt failed."""
+        """Update the estimates and the ejection state with the outcome of an attempt."""
         self.failure_rate.record(failed, now_ns)
         self.latency_ratio.mark_updated(now_ns)
         self.responses.record(failed, now_ns)
         self.ejection.record(failed)
 
     def drops_duplicates_of(self, other: EndpointState, scope: DeduplicationScope) -> bool:
-        """Return whether repeats here of a keyed request that the other endpoint executed are dropped."""
+        """Return whether this endpoint drops duplicates of requests that the other endpoint has executed.
+
+        It does so for requests with an idempotency key if both are in one deduplication group.
+        """
         if scope == DeduplicationScope.ALL:
             return True
         if self.zone != other.zone:
@@ -109,7 +115,7 @@
         self.weight = max(entry.weight, MIN_WEIGHT)
 
     def _reset_history(self) -> None:
-        """Clear all but the entry of the endpoint list and the attempts in flight."""
+        """Clear all state except the list entry and the number of attempts in flight."""
         self.failure_rate = FailureRateEstimate(self._class_count)
         self.latency_ratio = LatencyRatioEstimate()
         self.responses = ResponseHistory()
--- a/balancer/policy/endpoints/health_checks.py
+++ b/balancer/policy/endpoints/health_checks.py
@@ -1,4 +1,4 @@
-"""The results of health checks: they end ejections and answer the probes of requests."""
+"""The handling of completed health checks, which decide about ejections and serve as load probes."""
 
 from balancer.policy.endpoints.membership import Membership
 from balancer.policy.endpoints.outlier_detection import OutlierDetector
@@ -9,7 +9,7 @@
 
 
 class HealthCheckHandler:
-    """Handles the end of health checks."""
+    """Passes the result of a health check to outlier detection and to load probing."""
 
     def __init__(
         self,
@@ -26,7 +26,7 @@
         self._probe_rounds = probe_rounds
 
     def handle(self, now_ns: int, event: HealthCheckCompleted) -> None:
-        """Record the result for the endpoint and for all requests that wait for it."""
+        """Record the result for the endpoint and for all requests that wait for this probe."""
         waiting = self._load_probing.take_waiting_requests(event.endpoint_id)
         endpoint = self._membership.endpoints.get(event.endpoint_id)
         if endpoint is None:
--- a/balancer/policy/endpoints/membership.py
+++ b/balancer/policy/endpoints/membership.py
@@ -1,4 +1,4 @@
-"""Membership: the endpoint list as the sidecar knows it."""
+"""Membership: the endpoints that this sidecar knows from the lists of discovery."""
 
 from random import Random
 
@@ -17,17 +17,20 @@
 
 
 class Membership:
-    """The endpoints by id, in the order in which they became known, and the polling for changes."""
+    """The known endpoints by id, in the order in which they were added, and the polling for changes."""
 
     def __init__(self, settings: Settings, random: Random) -> None:
         self._class_count = len(settings.classes)
         self._last_zone = settings.zone_count - 1
-        self._rank_salt = mix64(settings.instance_index)  # so that the ranking survives a restart
+        self._rank_salt = mix64(settings.instance_index)  # the same after a restart of the sidecar
         self.polling = DiscoveryPolling(settings, random)
         self.endpoints: dict[EndpointId, EndpointState] = {}
 
     def apply(self, update: EndpointUpdate) -> None:
-        """Apply an endpoint list or changes of it; removed endpoints stay until their last attempt ends."""
+        """Apply a complete endpoint list or changes to it.
+
+        Removed endpoints are kept until their last attempt ends.
+        """
         if update.kind != EndpointUpdateKind.CACHED:
             self.polling.record_response()
         for entry in update.endpoints:
@@ -38,16 +41,16 @@
             self.drop_if_unused(endpoint)
 
     def drop_if_unused(self, endpoint: EndpointState) -> None:
-        """Forget an endpoint that is removed and has no attempts in flight."""
+        """Delete an endpoint if discovery has removed it and it has no attempts in flight."""
         if endpoint.health == EndpointHealth.REMOVED and not endpoint.in_flight:
             del self.endpoints[endpoint.id]
 
     def ranked_endpoints(self) -> list[EndpointState]:
-        """Return the ready endpoints, the preferred first."""
+        """Return the ready endpoints in the order of preference."""
         return rank_endpoints(self.endpoints.values())
 
     def _add_or_update(self, listed: Endpoint) -> None:
-        """Apply an entry of the list; a zone that the settings do not know counts as the last one."""
+        """Apply an entry of the list; a zone number beyond `zone_count` is taken as the last zone."""
         entry = listed._replace(zone=min(listed.zone, self._last_zone))
         known = self.endpoints.get(entry.id)
         if known is None:
@@ -56,7 +59,7 @@
             known.update(entry)
 
     def _mark_missing_as_removed(self, update: EndpointUpdate) -> None:
-        """Mark the endpoints that a whole list no longer has."""
+        """Mark the endpoints that are missing from a complete list as removed."""
         listed_ids = {entry.id for entry in update.endpoints}
         for missing_id in self.endpoints.keys() - listed_ids:
             self.endpoints[missing_id].health = EndpointHealth.REMOVED
