--- a/balancer/policy/endpoints/ejection_state.py
+++ b/balancer/policy/endpoints/ejection_state.py
@@ -15,7 +15,7 @@
         self.ejections_since_success = 0
         """Number of ejections since the last successful attempt; each one lengthens the next ejection."""
         self.consecutive_failures = 0
-        """Number of failed attempts since the last successful attempt or return to service."""
+        """Number of failed attempts since the last success or health check that ended an ejection."""
         self.health_check_pending = False
         """Whether a health check is in progress that decides if the endpoint returns to service."""
 
--- a/balancer/policy/endpoints/endpoint_ranking.py
+++ b/balancer/policy/endpoints/endpoint_ranking.py
@@ -13,8 +13,8 @@
 def rank_endpoints(endpoints: Iterable[EndpointState]) -> list[EndpointState]:
     """Return the ready endpoints in the order of preference; a changed list changes little of the order.
 
-    This is weighted rendezvous hashing: the sort key is -log(hash) / weight, with the hash scaled to the range
-    from 0 to 1 (Schindelhauer and Schomaker, SPAA 2005).
+    This is weighted rendezvous hashing: the sort key is -log(hash) / weight, with the hash scaled to (0, 1]
+    (Schindelhauer and Schomaker, SPAA 2005).
     """
     ready = [endpoint for endpoint in endpoints if endpoint.health == EndpointHealth.READY]
     return sorted(ready, key=_rank)
--- a/balancer/policy/selection/__init__.py
+++ b/balancer/policy/selection/__init__.py
@@ -1,1 +1,1 @@
-"""Which endpoint an attempt goes to: subsets, slow start, load probing and the pick."""
+"""The choice of the endpoint for an attempt: subsets, zones, slow start, load probing and load comparison."""
--- a/balancer/policy/selection/endpoint_picker.py
+++ b/balancer/policy/selection/endpoint_picker.py
@@ -1,4 +1,8 @@
-"""The pick of an endpoint for one attempt: the least loaded, then the one expected to answer first."""
+"""The pick of an endpoint for one attempt: the least loaded one, and among equals the fastest one.
+
+The load of an endpoint is the number of attempts in flight that this sidecar has at it, and more if it often
+fails. Costs of failures are given in multiples of the latency objective of the request class.
+"""
 
 from heapq import nsmallest
 
@@ -12,20 +16,20 @@
 from balancer.policy_api import Idempotency, Settings
 
 TOLERATED_FAILURE_RATE = 0.3
-"""Failure rate (share) up to which an endpoint is not avoided: one failure among successes is below it."""
+"""Failure rate (share) up to which an endpoint is not avoided; one failure after successes stays below it."""
 
 NON_IDEMPOTENT_FAILURE_COST = 4.0
-"""Cost of a failure that must not be retried (latency objectives): the request is lost."""
+"""Cost of a failed attempt that must not be retried (latency objectives): its request is lost."""
 
 RETRYABLE_FAILURE_COST = 1.0
-"""Cost of a failure that may be retried (latency objectives)."""
+"""Cost of a failed attempt that may be retried (latency objectives)."""
 
 ENDPOINTS_PER_KEY = 2
-"""Endpoints that serve one key where keys have affinity: a popular key would overload a single one."""
+"""Number of endpoints that serve one key if keys have affinity: a popular key would overload a single one."""
 
 
 class EndpointPicker:
-    """Picks endpoints by the attempts in flight at them and by the estimates about them."""
+    """Picks endpoints by their attempts in flight, failure rates and latencies."""
 
     def __init__(self, settings: Settings, subsets: SubsetSelector, latency: LatencyTracker) -> None:
         self._settings = settings
@@ -38,9 +42,9 @@
         ]
 
     def pick(self, zone: ZoneSubset, request: RequestState, now_ns: int) -> EndpointState | None:
-        """Return the least loaded candidate, among equals the one expected to answer first.
+        """Return the least loaded candidate, among equals the one expected to respond first, or None.
 
-        All candidates are compared: if only a few were drawn at random, all of them would often be slow.
+        All candidates are compared: with only a few drawn at random, often all of these would be slow.
         """
         class_index = request.class_index
         return min(
@@ -54,13 +58,14 @@
     ) -> bool:
         """Return whether the load of the remote endpoint is lower by more than the price of crossing zones.
 
-        The spillover ratio follows the difference in load between zones, but slowly.
+        This comparison takes effect at once, while the spillover ratio follows the difference in load between
+        zones slowly.
         """
         margin = self._settings.cross_zone_price / MIN_THRESHOLD
         return self.load(remote, class_index, now_ns) + margin < self.load(local, class_index, now_ns)
 
     def candidates(self, zone: ZoneSubset, request: RequestState, now_ns: int) -> list[EndpointState]:
-        """Return the endpoints that the request should go to: the idle, healthy ones if any are eligible."""
+        """Return the eligible endpoints that are idle and seldom fail, or all eligible ones otherwise."""
         eligible = self._eligible_endpoints(zone, request, now_ns)
         class_index = request.class_index
         idle_and_healthy = [
@@ -72,17 +77,18 @@
         return idle_and_healthy or eligible
 
     def load(self, endpoint: EndpointState, class_index: int, now_ns: int) -> float:
-        """Return the load of an endpoint: its attempts in flight, and more if it often fails.
+        """Return the load of an endpoint in attempts in flight: their number, and more if it often fails.
 
-        An endpoint that fails quickly holds few attempts; by these alone it would get the most traffic.
+        An endpoint that fails quickly has few attempts in flight, which alone would bring it the most
+        traffic.
         """
         failure_rate = endpoint.failure_rate.expected(class_index, now_ns)
         return self._load(endpoint, failure_rate, class_index)
 
     def expected_time_ns(self, endpoint: EndpointState, class_index: int, now_ns: int) -> float:
-        """Return the expected time of an attempt, including the cost of a failure.
+        """Return the expected time of an attempt (ns), including the expected cost of a failure.
 
-        For an endpoint without recent answers it approaches the mean of the class.
+        For an endpoint without recent outcomes it approaches the mean latency of the class.
         """
         failure_rate = endpoint.failure_rate.expected(class_index, now_ns)
         return self._expected_time_ns(endpoint, failure_rate, class_index, now_ns)
@@ -90,7 +96,7 @@
     def _load_and_expected_time(
         self, endpoint: EndpointState, class_index: int, now_ns: int
     ) -> tuple[float, float]:
-        """Return what candidates are compared by."""
+        """Return the sort key of a candidate: its load, then the expected time of an attempt at it (ns)."""
         failure_rate = endpoint.failure_rate.expected(class_index, now_ns)
         load = self._load(endpoint, failure_rate, class_index)
         return load, self._expected_time_ns(endpoint, failure_rate, class_index, now_ns)
@@ -115,7 +121,10 @@
     def _eligible_endpoints(
         self, zone: ZoneSubset, request: RequestState, now_ns: int
     ) -> list[EndpointState]:
-        """Return the warm endpoints that may get the request and have not failed it just before."""
+        """Return the warm endpoints that may get the request, except the endpoint of its last attempt.
+
+        Endpoints that were already probed for the request are left out as well.
+        """
         settings = self._settings
         key_hash = request.key_hash if settings.key_affinity else 0
         binding = request.deduplication
@@ -131,14 +140,17 @@
         if binding:
             scope = request.request_class.deduplication_scope
             warm = [endpoint for endpoint in warm if endpoint.drops_duplicates_of(binding.endpoint, scope)]
-        if key_hash or binding:  # the subsets leave out ejected endpoints, other pools do not
+        if key_hash or binding:  # only the subsets leave out ejected endpoints
             warm = [endpoint for endpoint in warm if endpoint.ejection.until_ns <= now_ns]
         return _endpoints_of_key(warm, key_hash) if key_hash else warm
 
     def _unfiltered_endpoints(
         self, zone: ZoneSubset, key_hash: int, binding: DeduplicationBinding | None
     ) -> list[EndpointState]:
-        """Return the endpoints to choose from, before any that may not get the request are left out."""
+        """Return the endpoints to choose from, including some that may not get the request.
+
+        A request that is bound to a deduplication group may go to any endpoint of the zone in that group.
+        """
         if binding:
             return zone.ranked
         if key_hash:
@@ -147,13 +159,13 @@
 
 
 def _failure_cost(idempotency: Idempotency) -> float:
-    """Return the cost of a failed attempt in latency objectives."""
+    """Return the cost of a failed attempt of a class (latency objectives)."""
     is_lost = idempotency == Idempotency.NOT_IDEMPOTENT
     return NON_IDEMPOTENT_FAILURE_COST if is_lost else RETRYABLE_FAILURE_COST
 
 
 def _endpoints_of_key(endpoints: list[EndpointState], key_hash: int) -> list[EndpointState]:
-    """Return the endpoints that serve a key, in an order that all sidecars share."""
+    """Return the endpoints that serve a key, in an order that is the same at all sidecars."""
     return nsmallest(
         ENDPOINTS_PER_KEY, endpoints, key=lambda endpoint: mix64(endpoint.affinity_hash ^ key_hash)
     )
--- a/balancer/policy/selection/load_probing.py
+++ b/balancer/policy/selection/load_probing.py
@@ -1,4 +1,8 @@
-"""Load probing: idle endpoints are health-checked for a request, and the fastest one gets it."""
+"""Load probing: for a request, idle endpoints get a health check, and the request goes to the fastest one.
+
+A sidecar with few requests cannot infer the load of an endpoint from its own attempts in flight. A probe is a
+health check that is sent for this purpose; probes are sent in rounds.
+"""
 
 from random import Random
 
@@ -11,28 +15,32 @@
 from balancer.time_units import SECOND_NS
 
 ENDPOINTS_PER_ROUND = 2
-"""Endpoints probed per round and zone: the power of two choices."""
+"""Number of endpoints probed per round and zone: the power of two choices."""
 
 DRAWN_PER_PROBED_ENDPOINT = 2
-"""Endpoints drawn at random for each one that is probed; those expected to be slower are dropped."""
+"""Number of endpoints drawn at random for each probed one; the ones expected to be slower are dropped."""
 
 ROUND_TIMEOUT_TICKS = 3
-"""Scheduling ticks, beyond the fastest known answer, in which an idle endpoint would have answered."""
+"""Timeout of a round (scheduling ticks) beyond the duration of the fastest health check of the zone.
+
+An idle endpoint responds within that time.
+"""
 
 MAX_ROUNDS = 4
-"""Rounds per request: together about 0.1 s, which is short of usual latency objectives."""
+"""Largest number of rounds per request: together they take about 0.1 s, less than usual objectives."""
 
 MAX_SIDECAR_PAUSE_NS = 2.2 * SECOND_NS
-"""Longest pause of a sidecar that is expected (ns): a request that waits for a probe must not expire."""
+"""Longest expected pause of a sidecar (ns): a request must not expire while it waits for a probe."""
 
 
 class LoadProbing:
-    """Starts rounds of probes, and knows which requests wait for the answer of which endpoint."""
+    """Starts rounds of probes, and records which requests wait for the response of which endpoint."""
 
     def __init__(
         self, settings: Settings, random: Random, subsets: SubsetSelector, picker: EndpointPicker
     ) -> None:
-        # With gossip, load is shed in time. Without load reports, a health check may bypass the queue.
+        # With gossip, requests are rejected early enough without probes. If endpoints send no load reports, a
+        # health check may bypass their queue.
         has_load_reports = bool(settings.load_report_fields) and not settings.gossip_enabled
         self.is_enabled = settings.health_checks_enabled and has_load_reports
         self._tick_ns = settings.scheduling_tick_ns
@@ -40,7 +48,7 @@
         self._subsets = subsets
         self._picker = picker
         self._waiting_request_ids: dict[EndpointId, list[int]] = {}
-        """Ids of the requests that wait for the answer of an endpoint."""
+        """Ids of the requests that wait for the response of an endpoint, by its id."""
 
     def allows_round(self, request: RequestState, now_ns: int) -> bool:
         """Return whether a request may wait for a further round, even if the sidecar is paused meanwhile."""
@@ -48,9 +56,10 @@
         return rounds < MAX_ROUNDS and request.expires_at_ns - now_ns >= MAX_SIDECAR_PAUSE_NS
 
     def start_round(self, request: RequestState, may_cross_zones: bool, now_ns: int) -> list[Action]:
-        """Return the actions that probe idle endpoints; none if no endpoint was ever probed for the request.
+        """Start a round for a request, and return the health checks and the timer that it needs.
 
-        The first round probes one zone, later ones both if the request may cross zones.
+        The first round probes the remote endpoints if `may_cross_zones` is set, else the local ones; later
+        rounds probe both if it is set. The result is empty if no endpoint was ever probed for the request.
         """
         probe = request.probe or LoadProbe()
         zone = self._subsets.remote if may_cross_zones else self._subsets.local
@@ -71,11 +80,14 @@
         return actions
 
     def take_waiting_requests(self, endpoint_id: EndpointId) -> list[int]:
-        """Return the ids of the requests that wait for an endpoint, and forget them."""
+        """Return the ids of the requests that wait for an endpoint, and remove them from the waiting ones."""
         return self._waiting_request_ids.pop(endpoint_id, [])
 
     def record_response(self, probe: LoadProbe, endpoint: EndpointState, duration_ns: int) -> None:
-        """Keep the endpoint if its answer exceeds the fastest one of its zone by the least time so far."""
+        """Record a healthy response to a probe; the request goes to the endpoint with the smallest excess.
+
+        The excess is the time beyond the fastest known health check of the endpoint's zone.
+        """
         zone = self._subsets.subset_of(endpoint)
         fastest_zone = self._subsets.remote if probe.fastest_is_remote else self._subsets.local
         fastest_excess_ns = probe.fastest_duration_ns - fastest_zone.fastest_health_check_ns
@@ -83,7 +95,7 @@
             probe.set_fastest(endpoint, duration_ns, is_remote=zone is self._subsets.remote)
 
     def _draw_endpoints(self, zone: ZoneSubset, request: RequestState, now_ns: int) -> list[EndpointState]:
-        """Draw idle endpoints at random, and return those of them that are expected to answer first."""
+        """Draw idle endpoints at random, and return those of them that are expected to respond first."""
         candidates = self._picker.candidates(zone, request, now_ns)
         idle = [endpoint for endpoint in candidates if not endpoint.in_flight]
         drawn = self._random.sample(idle, min(DRAWN_PER_PROBED_ENDPOINT * ENDPOINTS_PER_ROUND, len(idle)))
--- a/balancer/policy/selection/probe_rounds.py
+++ b/balancer/policy/selection/probe_rounds.py
@@ -1,4 +1,4 @@
-"""The rounds of load probing in the life cycle of a request: their start, the answers and their end."""
+"""The rounds of load probing for a request: their start, the responses to the probes, and their end."""
 
 from balancer import policy_api as api
 from balancer.policy.endpoints.endpoint_state import EndpointState
@@ -11,11 +11,14 @@
 from balancer.policy_api import EndpointHealth
 
 FIRST_RESPONSE_DELAY_NS = 1
-"""Delay after the first answer (ns): other answers of the same scheduling tick are compared with it."""
+"""Delay from the first response to the end of the round (ns).
+
+Other responses that arrive in the same scheduling tick are still compared with the first one.
+"""
 
 
 class ProbeRounds:
-    """Holds requests while endpoints are probed for them, and then sends them."""
+    """Delays requests while endpoints are probed for them, and then dispatches them."""
 
     def __init__(
         self,
@@ -34,10 +37,10 @@
         self._dispatcher = dispatcher
 
     def start(self, request: RequestState, now_ns: int) -> bool:
-        """Start a round for a request, or send it to an endpoint that is warming up.
+        """Start a round for a request, or dispatch it to an endpoint that is warming up.
 
         Returns:
-            Whether either was possible; otherwise the request has to be sent without probing.
+            Whether either was possible; otherwise the request has to be dispatched without probing.
         """
         if not self._load_probing.is_enabled:
             return False
@@ -57,7 +60,7 @@
         return bool(actions)
 
     def end_by_timer(self, request_id: int, now_ns: int) -> None:
-        """End the round of a request, unless it has been sent already."""
+        """End the round of a request when its timer fires, unless it has been dispatched already."""
         request = self._requests.get(request_id)
         if request is not None and not request.attempt_count:
             self._end(request, now_ns)
@@ -65,7 +68,11 @@
     def record_response(
         self, request_id: int, endpoint: EndpointState, is_healthy: bool, duration_ns: int, now_ns: int
     ) -> None:
-        """Record the answer of an endpoint that was probed for a request."""
+        """Record the result of a probe for a request.
+
+        The first healthy response starts a timer that shortens the round. The round ends at once if no probe
+        is outstanding and at least one response was healthy.
+        """
         request = self._requests.get(request_id)
         if request is None or request.attempt_count or request.probe is None:
             return
@@ -80,7 +87,11 @@
             self._end(request, now_ns)
 
     def _end(self, request: RequestState, now_ns: int) -> None:
-        """Send a request to the fastest endpoint, or go on without an answer."""
+        """Dispatch a request to the fastest endpoint.
+
+        Without a healthy response from an endpoint that is still ready, another round starts; if none can
+        start, the request is dispatched without probing. An expired request gets its final response.
+        """
         fastest = request.probe.fastest if request.probe else None
         if now_ns >= request.expires_at_ns:
             self._dispatcher.give_final_answer(request, now_ns)
--- a/balancer/policy/selection/slow_start.py
+++ b/balancer/policy/selection/slow_start.py
@@ -1,4 +1,7 @@
-"""Slow start: the capacity of endpoints that are warming up, and the attempts that they may get meanwhile."""
+"""Slow start: the capacity of endpoints that are warming up, and the limit of the attempts that they get.
+
+A warm endpoint has its full capacity.
+"""
 
 from random import Random
 
@@ -8,14 +11,17 @@
 from balancer.time_units import SECOND_NS
 
 RATE_SMOOTHING = 0.06
-"""Weight of a control cycle in the smoothed answer rate (share): about the last 4 s count."""
+"""Weight of a control cycle in the moving average of the response rate (share): about the last 4 s count."""
 
 PEAK_DECAY = 0.98
-"""Share of the peak answer rate kept per control cycle: it decays over about 12 s."""
+"""Share of the peak response rate that is kept per control cycle: its time constant is about 12 s."""
 
 
 def capacity(settings: Settings, endpoint: EndpointState, now_ns: int) -> float:
-    """Return the least capacity of an endpoint, as a share of its full one; below 1 it is warming up."""
+    """Return the minimum capacity of an endpoint, as a share of its full one; below 1 it is warming up.
+
+    It grows linearly with the time since the start of the endpoint.
+    """
     age_ns = now_ns - endpoint.started_at_ns
     duration_ns = settings.slow_start_duration_ns
     if not endpoint.started_at_ns or age_ns >= duration_ns:
@@ -25,10 +31,11 @@
 
 
 class WarmUpTokenBucket:
-    """The attempts that endpoints may get while they warm up.
+    """The token bucket of the attempts that the warming endpoints of a subset may get: one token per attempt.
 
-    Each answer of a warm endpoint earns the warming ones a part of an attempt, by their capacities. The rate
-    of the fleet thus follows what the endpoints actually serve, however many sidecars there are.
+    Each response of a warm endpoint adds a fraction of a token, in proportion to the capacity of the warming
+    endpoints. The rate of all sidecars together thus follows what the endpoints actually serve, whatever the
+    number of sidecars.
     """
 
     def __init__(self, settings: Settings, random: Random) -> None:
@@ -36,18 +43,21 @@
         self._random = random
         self._members: list[EndpointState] = []
         self._tokens = 0.0
-        """Attempts that may be sent now."""
+        """Tokens in the bucket."""
         self._tokens_per_response = 0.0
-        """Attempts earned by one answer of a warm endpoint."""
+        """Tokens added per response of a warm endpoint."""
         self._response_count = 0
-        """Answers of warm endpoints in this control cycle."""
+        """Number of responses of warm endpoints in this control cycle."""
         self._response_rate = 0.0
-        """Answers of one warm endpoint per control cycle, smoothed."""
+        """Moving average of the number of responses per warm endpoint and control cycle."""
         self._peak_response_rate = 0.0
-        """The highest smoothed rate, decaying."""
+        """Largest value of the response rate, with exponential decay."""
 
     def set_members(self, members: list[EndpointState], now_ns: int) -> None:
-        """Set the subset. While all its endpoints are warm nothing is saved up for a later bulk restart."""
+        """Set the endpoints of the subset and the refill rate; while all are warm, the bucket is empty.
+
+        Accumulated tokens of all sidecars, spent at once after a bulk restart, would overload the endpoints.
+        """
         self._members = members
         capacities = self._capacities(now_ns)
         warm_count = sum(share >= 1 for share in capacities)
@@ -56,14 +66,15 @@
             self._tokens = 0.0
 
     def record_response(self) -> None:
-        """Record an answer of a warm endpoint."""
+        """Add the tokens for a response of a warm endpoint; the bucket capacity is one token."""
         self._response_count += 1
         self._tokens = min(1.0, self._tokens + self._tokens_per_response)
 
     def end_cycle(self, candidate_count: int, now_ns: int) -> None:
-        """Add the attempts by which the earnings of this control cycle fell short of recent ones.
+        """Add the tokens by which this control cycle fell short of the recent peak rate.
 
-        Without warm endpoints the fleet sends each of the `candidate_count` endpoints a request per second.
+        Without warm endpoints, all sidecars together send each of the `candidate_count` endpoints one request
+        per second.
         """
         capacities = self._capacities(now_ns)
         warm = [member for member, share in zip(self._members, capacities, strict=True) if share >= 1]
@@ -74,9 +85,10 @@
         self._response_count = 0
 
     def draw_endpoint(self, now_ns: int) -> EndpointState | None:
-        """Spend an attempt on a warming endpoint; return None if there is no allowance or no such endpoint.
+        """Take a token and return the warming endpoint that gets the attempt, drawn at random by capacity.
 
-        An endpoint gets none while its attempts in flight reach its capacity times the mean of the warm ones.
+        The result is None if there is no token or no endpoint may get the attempt. An endpoint may not while
+        its attempts in flight reach its capacity times the mean number at the warm endpoints (at least 1).
         """
         if self._tokens < 1:
             return None
@@ -99,20 +111,20 @@
         return [capacity(self._settings, member, now_ns) for member in self._members]
 
     def _update_response_rate(self, warm: list[EndpointState], now_ns: int) -> None:
-        """Update the answer rate, unless all warm endpoints with attempts in flight are silent."""
+        """Update the response rate, unless all warm endpoints with attempts in flight are unresponsive."""
         busy = [endpoint for endpoint in warm if endpoint.in_flight]
-        all_silent = bool(busy) and all(endpoint.responses.is_unresponsive(now_ns) for endpoint in busy)
-        if warm and not all_silent:
+        all_unresponsive = bool(busy) and all(endpoint.responses.is_unresponsive(now_ns) for endpoint in busy)
+        if warm and not all_unresponsive:
             self._response_rate += RATE_SMOOTHING * (self._response_count / len(warm) - self._response_rate)
         self._peak_response_rate = max(self._response_rate, self._peak_response_rate * PEAK_DECAY)
 
     def _min_tokens(self, candidate_count: int) -> float:
-        """Return this sidecar's part, per control cycle, of one request per second and endpoint."""
+        """Return this sidecar's share of one token per second and endpoint, per control cycle."""
         return candidate_count / self._settings.instance_count * CYCLE_NS / SECOND_NS
 
     def _add_missing_tokens(self, warming_capacity: float, min_tokens: float) -> None:
-        """Add the attempts by which the answers of this control cycle fell short of the usual number."""
-        usual = max(self._peak_response_rate * warming_capacity, min_tokens)
-        missed = usual - self._response_count * self._tokens_per_response
-        if missed > 0:
-            self._tokens = min(max(1.0, missed), self._tokens + missed)
+        """Add the tokens by which the responses of this control cycle fell short of the usual number."""
+        usual_tokens = max(self._peak_response_rate * warming_capacity, min_tokens)
+        missing_tokens = usual_tokens - self._response_count * self._tokens_per_response
+        if missing_tokens > 0:
+            self._tokens = min(max(1.0, missing_tokens), self._tokens + missing_tokens)
--- a/balancer/policy/selection/zone_router.py
+++ b/balancer/policy/selection/zone_router.py
@@ -1,4 +1,4 @@
-"""Zone routing: whether a request goes to a local or a remote endpoint, and to which one."""
+"""Zone routing: whether a request goes to an endpoint of the local zone or of another one, and to which."""
 
 from random import Random
 
@@ -10,7 +10,7 @@
 
 
 class ZoneRouter:
-    """Chooses the endpoint of an attempt."""
+    """Chooses the zone and the endpoint for an attempt."""
 
     def __init__(
         self, random: Random, subsets: SubsetSelector, picker: EndpointPicker, overload: OverloadDetector
@@ -21,12 +21,12 @@
         self._overload = overload
 
     def may_cross_zones(self, request: RequestState) -> bool:
-        """Return whether there are remote endpoints and the request is worth the price to use them."""
+        """Return whether there are remote endpoints and the request is worth the price of crossing zones."""
         has_remote = bool(self._subsets.remote.members)
         return has_remote and self._overload.spillover.is_worth_crossing(request.request_class)
 
     def draw_spillover(self) -> bool:
-        """Draw whether a request that may cross zones does so, with the spillover ratio as probability."""
+        """Draw at random whether a request goes to another zone; the probability is the spillover ratio."""
         return self._random.random() < self._overload.spillover.ratio
 
     def choose(self, request: RequestState, now_ns: int) -> EndpointState | None:
@@ -50,9 +50,9 @@
         return remote_endpoint if prefers_remote else local_endpoint
 
     def choose_warming(self, request: RequestState, now_ns: int) -> EndpointState | None:
-        """Return an endpoint that is warming up and may get a request below the admission threshold.
+        """Return an endpoint that is warming up and may get a request below the admission threshold, or None.
 
-        Its allowance is its own: the queues for which requests are rejected are at the warm endpoints.
+        The token buckets alone limit these requests: the queues that cause rejections are at warm endpoints.
         """
         self._subsets.refresh(now_ns)
         endpoint = self._subsets.local.warm_up_bucket.draw_endpoint(now_ns)
@@ -60,7 +60,9 @@
             endpoint = self._subsets.remote.warm_up_bucket.draw_endpoint(now_ns)
         return endpoint
 
-    def _choose_from_subset(self, zone: ZoneSubset, request: RequestState, now_ns: int) -> EndpointState | None:
+    def _choose_from_subset(
+        self, zone: ZoneSubset, request: RequestState, now_ns: int
+    ) -> EndpointState | None:
         is_first_choice = not request.attempt_count and not request.probe
         endpoint = zone.warm_up_bucket.draw_endpoint(now_ns) if is_first_choice else None
         return endpoint or self._picker.pick(zone, request, now_ns)
