--- a/tests/policy/test_attempt_accounting.py
+++ b/tests/policy/test_attempt_accounting.py
@@ -1,4 +1,4 @@
-"""Tests of `balancer.policy.selection.attempt_accounting`: connections that no attempt uses any more."""
+"""Tests of `balancer.policy.selection.attempt_accounting`: closing connections that are not used any more."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def test_idle_connections_outside_the_subset_are_closed() -> None:
-    """Otherwise connections of a burst stay in the endpoints' connection tables until they time out."""
+    """Connections of a burst would otherwise stay in the endpoints' connection tables until they time out."""
     harness = BalancerHarness(settings(), endpoint_count=30)
     attempts = [harness.start_attempt() for _ in range(60)]
     connected_in_burst = len(harness.balancer.accounting.connected)
--- a/tests/policy/test_connection_budget.py
+++ b/tests/policy/test_connection_budget.py
@@ -1,4 +1,4 @@
-"""Tests of `balancer.policy.selection.connection_budget`: the share of an instance and its adaptation."""
+"""Tests of `balancer.policy.selection.connection_budget`: the share of a sidecar and its adaptation."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 from tests.policy.harness import BalancerHarness
 
 
-def test_connections_keep_to_the_share_of_an_instance() -> None:
-    """With keys and a grown subset each of many instances would fill the endpoints' connection tables."""
+def test_connections_keep_to_the_share_of_a_sidecar() -> None:
+    """With key affinity and large subsets, many sidecars would fill the connection tables of the endpoints."""
     harness = BalancerHarness(settings(key_affinity=True, instance_count=100), endpoint_count=50)
     share = int(connection_budget.INITIAL_FAN_IN * 50 / 100)
     used = {harness.start_attempt(key_hash=key_hash).endpoint_id for key_hash in range(1, 200)}
--- a/tests/policy/test_discovery_polling.py
+++ b/tests/policy/test_discovery_polling.py
@@ -11,6 +11,7 @@
 
 
 def test_discovery_is_polled_in_time_and_again_after_a_failure() -> None:
+    """Without a retry after a failed poll the sidecar would never learn of changes of the endpoint list."""
     harness = BalancerHarness(settings(polls_discovery=True, discovery_poll_window_ns=10 * SECOND_NS))
     polls: list[int] = []
     for _ in range(80):
@@ -24,7 +25,8 @@
     assert not any(actions_of(WatchEndpoints, harness.tick(0.25)) for _ in range(60))
 
 
-def test_first_polls_are_spread_over_instances() -> None:
+def test_first_polls_of_sidecars_are_spread_over_time() -> None:
+    """Sidecars that start together would otherwise all poll discovery at the same time."""
     first_polls = set()
     for seed in range(20):
         harness = BalancerHarness(settings(polls_discovery=True), seed=seed)
--- a/tests/policy/test_endpoint_picker.py
+++ b/tests/policy/test_endpoint_picker.py
@@ -11,14 +11,14 @@
 from tests.policy.harness import BalancerHarness
 
 
-def test_instances_agree_on_few_endpoints_for_a_key() -> None:
-    """An endpoint that served a key needs less work for it; by subsets alone each would serve all keys."""
+def test_sidecars_agree_on_few_endpoints_for_a_key() -> None:
+    """An endpoint that served a key needs less work for it; with subsets alone each one would serve all keys."""
     endpoints_by_key: dict[int, set[EndpointId]] = {7: set(), 8: set(), 9: set()}
-    for instance in range(12):
+    for sidecar in range(12):
         harness = BalancerHarness(
-            settings(key_affinity=True, instance_index=instance, instance_count=12),
+            settings(key_affinity=True, instance_index=sidecar, instance_count=12),
             endpoint_count=40,
-            seed=instance,
+            seed=sidecar,
         )
         for key_hash, endpoints in endpoints_by_key.items():
             attempt = harness.start_attempt(key_hash=key_hash)
@@ -37,7 +37,7 @@
 def test_fastest_idle_endpoint_is_picked() -> None:
     harness = BalancerHarness(settings(), endpoint_count=8)
     fastest = endpoint_id(5)
-    # The first answers give the mean of the class, the next ones each endpoint's ratio to it.
+    # The first responses give the mean latency of the class, the next ones each endpoint's ratio to it.
     for _ in range(2):
         attempts = [harness.start_attempt() for _ in range(8)]
         assert len({attempt.endpoint_id for attempt in attempts}) == 8
@@ -67,7 +67,7 @@
 
 
 def test_fast_failing_endpoint_loses_traffic() -> None:
-    """It hardly ever has attempts in flight, so a choice by load alone would favour it."""
+    """It hardly ever has attempts in flight, so a pick by attempts in flight alone would prefer it."""
     harness = BalancerHarness(settings(), endpoint_count=8)
     failing = endpoint_id(1)
     picks = Counter[EndpointId]()
@@ -95,7 +95,7 @@
             harness.handle(ClientDisconnected(attempt.request_id))
         else:
             harness.complete(attempt)
-    harness.now_ns += 2 * SECOND_NS  # longer than a success protects from ejection
+    harness.now_ns += 2 * SECOND_NS  # the last success no longer prevents ejection
     for _ in range(12):
         harness.record_outcome(
             failing, AttemptOutcome.SERVER_ERROR, 5 * MILLISECOND_NS, request_finished=True
@@ -108,7 +108,7 @@
 
 
 def test_fast_failing_idle_endpoint_is_not_preferred_to_busy_ones() -> None:
-    """At hundreds of requests a second all other endpoints are busy, and it is the only idle one."""
+    """At hundreds of requests per second all other endpoints are busy, and it is the only idle one."""
     harness = BalancerHarness(settings(), endpoint_count=4)
     failing = harness.endpoint(1)
     for _ in range(8):
--- a/tests/policy/test_load_probing.py
+++ b/tests/policy/test_load_probing.py
@@ -56,7 +56,7 @@
 
 
 def test_fastest_probed_endpoint_gets_the_request() -> None:
-    """An instance with few requests cannot infer the load of an endpoint from its own requests in flight."""
+    """A sidecar with few requests cannot infer the load of an endpoint from its own attempts in flight."""
     harness = probing_harness()
     probed = probed_endpoints(receive_request(harness))
     assert len(probed) == 2
@@ -69,14 +69,14 @@
     assert attempt.endpoint_id == probed[1]
 
 
-def test_other_endpoints_are_probed_when_the_first_are_silent() -> None:
+def test_other_endpoints_are_probed_when_the_first_are_unresponsive() -> None:
     harness = probing_harness()
-    silent = probed_endpoints(receive_request(harness))
+    unresponsive = probed_endpoints(receive_request(harness))
     harness.now_ns += 20 * MILLISECOND_NS
     probed = probed_endpoints(harness.handle(PROBE_TIMER))
     assert probed
-    assert not set(probed) & set(silent)
-    # The remote zone too, as no local endpoint is known to be idle.
+    assert not set(probed) & set(unresponsive)
+    # The remote zone is probed as well, since no local endpoint is known to be idle.
     assert {endpoint_number(identifier) % 2 for identifier in probed} == {0, 1}
     harness.now_ns += 5 * MILLISECOND_NS
     harness.complete_health_check(probed[0], duration_ns=3 * MILLISECOND_NS)
@@ -85,7 +85,7 @@
     assert attempt.endpoint_id == probed[0]
 
 
-def test_probing_without_answers_ends_with_an_attempt() -> None:
+def test_probing_without_responses_ends_with_an_attempt() -> None:
     harness = probing_harness()
     receive_request(harness)
     attempts: list[StartAttempt] = []
@@ -101,13 +101,13 @@
 def test_request_that_expired_during_probing_is_rejected() -> None:
     harness = probing_harness()
     receive_request(harness)
-    harness.now_ns += 4 * SECOND_NS  # the sidecar was paused: the client has given up
+    harness.now_ns += 4 * SECOND_NS  # the sidecar was paused, and the client has given up
     [action] = harness.handle(PROBE_TIMER)
     assert isinstance(action, RejectRequest)
 
 
 def test_no_probing_if_a_pause_of_the_sidecar_could_outlast_the_request() -> None:
-    """A sidecar that is paused for two seconds would hold the request until its client gives up."""
+    """If the sidecar were paused for two seconds during a round, the client would give up the request."""
     harness = probing_harness()
     actions = receive_request(harness, time_left_ns=2 * SECOND_NS)
     assert not probed_endpoints(actions)
@@ -127,7 +127,7 @@
 
 
 def test_least_loaded_endpoint_gets_the_request_when_all_are_busy() -> None:
-    """The fastest local endpoint must not get all requests, whatever its load, while remote ones are idle."""
+    """The fastest local endpoint must not get all requests while remote ones are idle, whatever its load."""
     harness = probing_harness()
     receive_request(harness)
     harness.update_endpoints(*(endpoint(number, zone=number % 2) for number in range(1, 5)))
--- a/tests/policy/test_membership.py
+++ b/tests/policy/test_membership.py
@@ -1,4 +1,4 @@
-"""Tests of `balancer.policy.endpoints.membership`: endpoint lists, drains and restarts."""
+"""Tests of `balancer.policy.endpoints.membership`: endpoint lists, draining endpoints and restarts."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
     harness = BalancerHarness(settings(), endpoint_count=2)
     harness.update_endpoints(endpoint(1, EndpointHealth.DRAINING), kind=EndpointUpdateKind.DELTA)
     assert {harness.start_attempt().endpoint_id for _ in range(20)} == {endpoint_id(2)}
-    harness.update_endpoints(endpoint(1), kind=EndpointUpdateKind.SNAPSHOT)  # 2 is missing: removed
+    harness.update_endpoints(endpoint(1), kind=EndpointUpdateKind.SNAPSHOT)  # removes 2, which is missing
     assert {harness.start_attempt().endpoint_id for _ in range(20)} == {endpoint_id(1)}
     harness.update_endpoints(kind=EndpointUpdateKind.SNAPSHOT)
     assert isinstance(harness.request(), RejectRequest)
@@ -38,6 +38,7 @@
 
 
 def test_endpoint_of_an_unknown_zone_is_used() -> None:
+    """The zone number of the list exceeds the number of zones in the settings; it counts as the last one."""
     harness = BalancerHarness(settings(), endpoint_count=0)
     harness.update_endpoints(endpoint(1, zone=9))
     harness.complete(harness.start_attempt())
--- a/tests/policy/test_outlier_detection.py
+++ b/tests/policy/test_outlier_detection.py
@@ -15,7 +15,7 @@
 
 
 def test_at_most_half_of_the_subset_is_ejected() -> None:
-    """If nearly all endpoints fail, they share the cause: load is shed, but no more endpoints are ejected."""
+    """If nearly all endpoints fail, the cause is common: requests are rejected, but half the subset stays."""
     harness = BalancerHarness(settings(max_attempts=1), endpoint_count=subset.MIN_SUBSET_SIZE_UNPRICED)
     for _ in range(300):
         harness.now_ns += 5 * MILLISECOND_NS
@@ -27,7 +27,7 @@
 
 
 def test_half_of_the_endpoints_stay_when_the_target_size_exceeds_their_number() -> None:
-    """Half of a target of ninety would let all eight be ejected but one, with the whole load on it."""
+    """Half of a target size of ninety would allow to eject all eight but one, which then gets the whole load."""
     harness = BalancerHarness(settings(max_attempts=1), endpoint_count=8)
     attempts = [harness.start_attempt() for _ in range(60)]
     harness.tick()
@@ -47,7 +47,7 @@
             harness.now_ns += 10 * MILLISECOND_NS
             harness.record_outcome(flaky, outcome, 10 * MILLISECOND_NS)
         assert not flaky.ejection.until_ns
-    # At hundreds of requests a second a partly failing endpoint often fails several times in a row.
+    # At hundreds of requests per second a partly failing endpoint often has several consecutive failures.
     for _ in range(outlier_detection.FAILURES_TO_EJECT):
         harness.record_outcome(flaky, AttemptOutcome.SERVER_ERROR)
     assert not flaky.ejection.until_ns
@@ -56,7 +56,7 @@
         harness.record_outcome(flaky, AttemptOutcome.CONNECTION_RESET)
     assert flaky.ejection.until_ns > harness.now_ns
     harness.now_ns += HOUR_NS
-    flaky.ejection.end(0)  # it got no requests since: only the reset is known
+    flaky.ejection.end(0)  # no requests since: the reset is the last outcome
     harness.record_outcome(flaky, AttemptOutcome.CONNECTION_RESET)
     assert flaky.ejection.until_ns > harness.now_ns
 
@@ -68,7 +68,7 @@
 def test_single_connect_failure_ejects_unless_connects_fail_often(
     connects_fail_often: bool, failures_to_eject: int
 ) -> None:
-    """Where a third of all connects fail, half of the endpoints would be ejected, the others overloaded."""
+    """If a third of all connects fail, single failures eject half of the endpoints and overload the others."""
     harness = BalancerHarness(
         settings(request_class(late_answer_value=0.5), max_attempts=1), endpoint_count=8
     )
@@ -88,7 +88,7 @@
 
 
 def test_endpoint_that_rejects_everything_is_ejected_and_no_sign_of_overload() -> None:
-    """It drains before the endpoint list says so; its fast answers would draw more traffic."""
+    """An endpoint may drain before the list says so; its fast rejections would attract more requests."""
     harness = BalancerHarness(settings(), endpoint_count=8)
     draining = harness.endpoint(1)
     harness.now_ns += SECOND_NS
@@ -106,23 +106,23 @@
     harness = BalancerHarness(
         settings(health_checks_enabled=True, gossip_enabled=True, instance_count=2), endpoint_count=4
     )
-    silent = harness.endpoint(1)
-    silent.in_flight = outlier_detection.MIN_IN_FLIGHT_TO_EJECT
-    silent.responses.restart_wait(harness.now_ns)
+    unresponsive = harness.endpoint(1)
+    unresponsive.in_flight = outlier_detection.MIN_IN_FLIGHT_TO_EJECT
+    unresponsive.responses.restart_wait(harness.now_ns)
     harness.tick()
-    assert silent.ejection.until_ns <= harness.now_ns
+    assert unresponsive.ejection.until_ns <= harness.now_ns
     harness.tick(UNRESPONSIVE_AFTER_NS / SECOND_NS)
-    assert silent.ejection.until_ns > harness.now_ns
+    assert unresponsive.ejection.until_ns > harness.now_ns
     health_checks: list[StartHealthCheck] = []
     while not health_checks:
         harness.balancer.subsets.select(harness.now_ns)
-        assert silent not in harness.subset
+        assert unresponsive not in harness.subset
         health_checks = actions_of(StartHealthCheck, harness.tick(0.1))
-    assert health_checks == [StartHealthCheck(silent.id)]
-    harness.complete_health_check(silent.id, AttemptOutcome.TIMEOUT, 500 * MILLISECOND_NS)
-    assert silent.ejection.until_ns > harness.now_ns + outlier_detection.MIN_EJECTION_NS
+    assert health_checks == [StartHealthCheck(unresponsive.id)]
+    harness.complete_health_check(unresponsive.id, AttemptOutcome.TIMEOUT, 500 * MILLISECOND_NS)
+    assert unresponsive.ejection.until_ns > harness.now_ns + outlier_detection.MIN_EJECTION_NS
     while not actions_of(StartHealthCheck, harness.tick(0.1)):
         pass
-    harness.complete_health_check(silent.id, duration_ns=5 * MILLISECOND_NS)
+    harness.complete_health_check(unresponsive.id, duration_ns=5 * MILLISECOND_NS)
     harness.balancer.subsets.select(harness.now_ns)
-    assert silent in harness.subset
+    assert unresponsive in harness.subset
--- a/tests/policy/test_subset.py
+++ b/tests/policy/test_subset.py
@@ -22,16 +22,16 @@
     assert len(harness.subset) > subset.MIN_SUBSET_SIZE_PRICED + 10
 
 
-def test_subset_grows_within_a_cycle_during_a_burst() -> None:
+def test_subset_grows_within_a_control_cycle_during_a_burst() -> None:
     harness = BalancerHarness(settings(connection_price=0.05), endpoint_count=40)
-    # As at a start: nothing has been answered yet.
+    # As just after the start of a sidecar, there has been no response yet.
     attempts = Counter(harness.start_attempt().endpoint_id for _ in range(40))
     assert len(attempts) > 3 * subset.MIN_SUBSET_SIZE_PRICED, attempts
     assert max(attempts.values()) <= 4, attempts
 
 
 def test_subset_does_not_grow_during_overload() -> None:
-    """Requests accumulate then, and each new connection would add to the load of the endpoints."""
+    """In overload attempts accumulate; a growing subset would need connections that add to the load."""
     harness = BalancerHarness(settings(connection_price=0.05), endpoint_count=40)
     harness.complete(harness.start_attempt())
     harness.balancer.overload.queueing_delay = 2.0
--- a/tests/policy/test_zone_router.py
+++ b/tests/policy/test_zone_router.py
@@ -8,7 +8,7 @@
 
 
 def is_remote(attempt: StartAttempt) -> bool:
-    """Return whether an attempt goes to an odd endpoint number: those are in zone 1 here."""
+    """Return whether an attempt goes to an endpoint with an odd number: these are in zone 1 here."""
     return endpoint_number(attempt.endpoint_id) % 2 == 1
 
 
@@ -24,7 +24,7 @@
 
 
 def start_local_attempts(harness: BalancerHarness, count: int) -> list[bool]:
-    """Start attempts and return for each whether it is local."""
+    """Start attempts, and return for each whether it goes to endpoint 1 or 2, which are local here."""
     return [endpoint_number(harness.start_attempt().endpoint_id) <= 2 for _ in range(count)]
 
 
@@ -39,7 +39,7 @@
 
 
 def test_less_loaded_remote_endpoints_take_what_local_ones_would_queue() -> None:
-    """Otherwise two local endpoints get all requests, up to their connection limits, while seven are idle."""
+    """Otherwise the two local endpoints get all requests up to their connection limits, and seven are idle."""
     harness = two_local_and_seven_remote_endpoints(cross_zone_price=0.016, connection_price=0.06)
     local = start_local_attempts(harness, 45)
     assert all(local[:2])  # idle local ones come first
