--- a/balancer/policy/endpoints/discovery_polling.py
+++ b/balancer/policy/endpoints/discovery_polling.py
@@ -31,9 +31,10 @@
         self._is_watching = not settings.polls_discovery
         self._next_poll_ns = 0
         self.spread_ns = min(MAX_POLL_SPREAD_NS, POLL_SPREAD_SHARE * settings.discovery_poll_window_ns)
+        """Longest time until a scheduled poll (ns)."""
 
     def schedule(self, now_ns: int, min_delay_share: float = 0.0) -> None:
-        """Schedule a poll at a random time within the spread, but not in its first `min_delay_share`."""
+        """Schedule a poll at a random time within the spread, after at least `min_delay_share` of it."""
         self._is_watching = not self._polls_discovery
         delay = min_delay_share + (1 - min_delay_share) * self._random.random()
         self._next_poll_ns = now_ns + int(delay * self.spread_ns)
--- a/balancer/policy/endpoints/endpoint_state.py
+++ b/balancer/policy/endpoints/endpoint_state.py
@@ -4,9 +4,9 @@
 
 from balancer.policy.endpoints.ejection_state import EjectionState
 from balancer.policy.endpoints.endpoint_estimates import (
-    ResponseHistory,
     FailureRateEstimate,
     LatencyRatioEstimate,
+    ResponseHistory,
 )
 from balancer.policy.hashing import mix64
 from balancer.policy_api import DeduplicationScope, Endpoint
--- a/balancer/policy/endpoints/health_checks.py
+++ b/balancer/policy/endpoints/health_checks.py
@@ -27,7 +27,7 @@
 
     def handle(self, now_ns: int, event: HealthCheckCompleted) -> None:
         """Record the result for the endpoint and for all requests that wait for this probe."""
-        waiting = self._load_probing.take_waiting_requests(event.endpoint_id)
+        waiting_request_ids = self._load_probing.take_waiting_requests(event.endpoint_id)
         endpoint = self._membership.endpoints.get(event.endpoint_id)
         if endpoint is None:
             return
@@ -35,5 +35,5 @@
         self._outliers.record_health_check(endpoint, is_healthy, now_ns)
         if is_healthy:
             self._subsets.subset_of(endpoint).record_health_check_duration(event.duration_ns)
-        for request_id in waiting:
+        for request_id in waiting_request_ids:
             self._probe_rounds.record_response(request_id, endpoint, is_healthy, event.duration_ns, now_ns)
--- a/balancer/policy/endpoints/outlier_detection.py
+++ b/balancer/policy/endpoints/outlier_detection.py
@@ -18,7 +18,10 @@
 """Outcomes of attempts whose connection could not be established or was lost."""
 
 FAILURES_TO_EJECT = 3
-"""Number of consecutive failures after which an endpoint is ejected."""
+"""Number of consecutive failures after which a timeout ejects the endpoint.
+
+It is also the upper bound for broken connections.
+"""
 
 REJECTIONS_TO_EJECT = 8
 """Number of consecutive failures after which a rejection ejects the endpoint.
--- a/balancer/policy/selection/endpoint_picker.py
+++ b/balancer/policy/selection/endpoint_picker.py
@@ -102,6 +102,10 @@
         return load, self._expected_time_ns(endpoint, failure_rate, class_index, now_ns)
 
     def _load(self, endpoint: EndpointState, failure_rate: float, class_index: int) -> float:
+        """Return the attempts in flight, plus the cost of failures above the tolerated rate.
+
+        The cost is divided by the mean latency of the class to be comparable to attempts in flight.
+        """
         if failure_rate <= TOLERATED_FAILURE_RATE:
             return endpoint.in_flight
         excess = failure_rate - TOLERATED_FAILURE_RATE
--- a/balancer/policy/selection/load_probing.py
+++ b/balancer/policy/selection/load_probing.py
@@ -41,8 +41,8 @@
     ) -> None:
         # With gossip, requests are rejected early enough without probes. If endpoints send no load reports, a
         # health check may bypass their queue.
-        has_load_reports = bool(settings.load_report_fields) and not settings.gossip_enabled
-        self.is_enabled = settings.health_checks_enabled and has_load_reports
+        is_useful = bool(settings.load_report_fields) and not settings.gossip_enabled
+        self.is_enabled = settings.health_checks_enabled and is_useful
         self._tick_ns = settings.scheduling_tick_ns
         self._random = random
         self._subsets = subsets
@@ -86,7 +86,8 @@
     def record_response(self, probe: LoadProbe, endpoint: EndpointState, duration_ns: int) -> None:
         """Record a healthy response to a probe; the request goes to the endpoint with the smallest excess.
 
-        The excess is the time beyond the fastest known health check of the endpoint's zone.
+        The excess is the time beyond the fastest known health check of the endpoint's zone. It does not depend
+        on the network delay to the zone.
         """
         zone = self._subsets.subset_of(endpoint)
         fastest_zone = self._subsets.remote if probe.fastest_is_remote else self._subsets.local
--- a/balancer/policy/selection/slow_start.py
+++ b/balancer/policy/selection/slow_start.py
@@ -123,7 +123,10 @@
         return candidate_count / self._settings.instance_count * CYCLE_NS / SECOND_NS
 
     def _add_missing_tokens(self, warming_capacity: float, min_tokens: float) -> None:
-        """Add the tokens by which the responses of this control cycle fell short of the usual number."""
+        """Add the tokens by which the responses of this control cycle fell short of the usual number.
+
+        These may exceed one token; the bucket capacity is then their number.
+        """
         usual_tokens = max(self._peak_response_rate * warming_capacity, min_tokens)
         missing_tokens = usual_tokens - self._response_count * self._tokens_per_response
         if missing_tokens > 0:
--- a/balancer/policy/selection/subset.py
+++ b/balancer/policy/selection/subset.py
@@ -25,7 +25,7 @@
 """Attempts in flight per endpoint of the subsets above which they grow before the control cycle ends."""
 
 MAX_EJECTION_SHARE = 0.5
-"""Largest share of ejected endpoints that a subset leaves out.
+"""Largest number of ejected endpoints that a subset leaves out, as a share of its target size.
 
 If more endpoints fail, they are likely to have a common cause.
 """
--- a/tests/policy/test_connection_budget.py
+++ b/tests/policy/test_connection_budget.py
@@ -12,7 +12,7 @@
 
 
 def test_connections_keep_to_the_share_of_a_sidecar() -> None:
-    """With key affinity and large subsets, many sidecars would fill the connection tables of the endpoints."""
+    """With key affinity and large subsets, many sidecars would fill the endpoints' connection tables."""
     harness = BalancerHarness(settings(key_affinity=True, instance_count=100), endpoint_count=50)
     share = int(connection_budget.INITIAL_FAN_IN * 50 / 100)
     used = {harness.start_attempt(key_hash=key_hash).endpoint_id for key_hash in range(1, 200)}
--- a/tests/policy/test_endpoint_picker.py
+++ b/tests/policy/test_endpoint_picker.py
@@ -12,7 +12,7 @@
 
 
 def test_sidecars_agree_on_few_endpoints_for_a_key() -> None:
-    """An endpoint that served a key needs less work for it; with subsets alone each one would serve all keys."""
+    """An endpoint that served a key needs less work for it; by subsets alone each would serve all keys."""
     endpoints_by_key: dict[int, set[EndpointId]] = {7: set(), 8: set(), 9: set()}
     for sidecar in range(12):
         harness = BalancerHarness(
@@ -67,7 +67,7 @@
 
 
 def test_fast_failing_endpoint_loses_traffic() -> None:
-    """It hardly ever has attempts in flight, so a pick by attempts in flight alone would prefer it."""
+    """A fast-failing endpoint seldom has attempts in flight, so a pick by load alone would prefer it."""
     harness = BalancerHarness(settings(), endpoint_count=8)
     failing = endpoint_id(1)
     picks = Counter[EndpointId]()
@@ -108,7 +108,7 @@
 
 
 def test_fast_failing_idle_endpoint_is_not_preferred_to_busy_ones() -> None:
-    """At hundreds of requests per second all other endpoints are busy, and it is the only idle one."""
+    """At hundreds of requests per second all other endpoints are busy, and only the failing one is idle."""
     harness = BalancerHarness(settings(), endpoint_count=4)
     failing = harness.endpoint(1)
     for _ in range(8):
--- a/tests/policy/test_outlier_detection.py
+++ b/tests/policy/test_outlier_detection.py
@@ -27,7 +27,7 @@
 
 
 def test_half_of_the_endpoints_stay_when_the_target_size_exceeds_their_number() -> None:
-    """Half of a target size of ninety would allow to eject all eight but one, which then gets the whole load."""
+    """Half of a target size of ninety would let all eight be ejected but one, which gets the whole load."""
     harness = BalancerHarness(settings(max_attempts=1), endpoint_count=8)
     attempts = [harness.start_attempt() for _ in range(60)]
     harness.tick()
@@ -68,7 +68,7 @@
 def test_single_connect_failure_ejects_unless_connects_fail_often(
     connects_fail_often: bool, failures_to_eject: int
 ) -> None:
-    """If a third of all connects fail, single failures eject half of the endpoints and overload the others."""
+    """If a third of all connects fail, single failures eject half the endpoints and overload the others."""
     harness = BalancerHarness(
         settings(request_class(late_answer_value=0.5), max_attempts=1), endpoint_count=8
     )
--- a/tests/policy/test_zone_router.py
+++ b/tests/policy/test_zone_router.py
@@ -39,7 +39,7 @@
 
 
 def test_less_loaded_remote_endpoints_take_what_local_ones_would_queue() -> None:
-    """Otherwise the two local endpoints get all requests up to their connection limits, and seven are idle."""
+    """Otherwise two local endpoints get all requests, up to their connection limits, while seven are idle."""
     harness = two_local_and_seven_remote_endpoints(cross_zone_price=0.016, connection_price=0.06)
     local = start_local_attempts(harness, 45)
     assert all(local[:2])  # idle local ones come first
