--- a/balancer/policy/selection/load_probing.py
+++ b/balancer/policy/selection/load_probing.py
@@ -86,8 +86,8 @@
     def record_response(self, probe: LoadProbe, endpoint: EndpointState, duration_ns: int) -> None:
         """Record a healthy response to a probe; the request goes to the endpoint with the smallest excess.
 
-        The excess is the time beyond the fastest known health check of the endpoint's zone. It does not depend
-        on the network delay to the zone.
+        The excess is the time beyond the fastest known health check of the endpoint's zone: it does not
+        include the network delay to the zone.
         """
         zone = self._subsets.subset_of(endpoint)
         fastest_zone = self._subsets.remote if probe.fastest_is_remote else self._subsets.local
--- a/balancer/policy/selection/zone_router.py
+++ b/balancer/policy/selection/zone_router.py
@@ -63,7 +63,7 @@
     def _choose_from_subset(
         self, zone: ZoneSubset, request: RequestState, now_ns: int
     ) -> EndpointState | None:
-        """Return a warming endpoint if the request may go to one and there is a token, else pick a warm one."""
+        """Return a warming endpoint for a first attempt if there is a token, else pick a warm one."""
         is_first_choice = not request.attempt_count and not request.probe
         endpoint = zone.warm_up_bucket.draw_endpoint(now_ns) if is_first_choice else None
         return endpoint or self._picker.pick(zone, request, now_ns)
