--- a/balancer/policy/endpoints/endpoint_maintenance.py
+++ b/balancer/policy/endpoints/endpoint_maintenance.py
@@ -8,7 +8,10 @@
 
 
 class EndpointMaintenance:
-    """Maintains the endpoints each time the timer of the control cycle fires."""
+    """Maintains the endpoints each time the timer of the control cycle fires, every `CYCLE_NS`.
+
+    A control cycle that ends earlier, by its number of attempts, is not followed by maintenance.
+    """
 
     def __init__(
         self,
--- a/tests/policy/test_endpoint_picker.py
+++ b/tests/policy/test_endpoint_picker.py
@@ -67,7 +67,7 @@
 
 
 def test_fast_failing_endpoint_loses_traffic() -> None:
-    """A fast-failing endpoint seldom has attempts in flight, so a pick by load alone would prefer it."""
+    """A fast-failing endpoint seldom has attempts in flight, so a pick by their number would prefer it."""
     harness = BalancerHarness(settings(), endpoint_count=8)
     failing = endpoint_id(1)
     picks = Counter[EndpointId]()
