--- a/balancer/sidecar/downstream/acceptor.py
+++ b/balancer/sidecar/downstream/acceptor.py
@@ -17,7 +17,7 @@
 LISTEN_BACKLOG = 512
 """Number of connections that may wait to be accepted: more than the sidecar may have open."""
 
-MAX_ACCEPTED_PER_TURN = 64
+MAX_ACCEPTED_PER_ITERATION = 64
 """Number of connections accepted in one turn of the event loop, so that open ones are served meanwhile."""
 
 RETRY_DELAY_SECONDS = 0.01
@@ -90,7 +90,7 @@
             await asyncio.wait(self._opening_tasks)
 
     def _accept_waiting(self) -> None:
-        self._accept_up_to(MAX_ACCEPTED_PER_TURN)
+        self._accept_up_to(MAX_ACCEPTED_PER_ITERATION)
 
     def _accept_up_to(self, count: int) -> None:
         """Accept at most this many of the connections that wait, until none is left or accepting fails."""
--- a/balancer/sidecar/downstream/connection.py
+++ b/balancer/sidecar/downstream/connection.py
@@ -174,7 +174,7 @@
             return
         self._is_processing_requests = True
         try:
-            while self._reader.has_unparsed_bytes and self._has_room():
+            while self._reader.has_unparsed_bytes and self._can_accept_request():
                 request = self._reader.next_request()
                 if request is None:
                     self._send_continue_if_expected()
@@ -186,7 +186,7 @@
             self._is_processing_requests = False
         self._update_reading()
 
-    def _has_room(self) -> bool:
+    def _can_accept_request(self) -> bool:
         """Return whether a further request may be accepted now."""
         return (
             self.lifecycle.phase is ConnectionPhase.ACCEPTING_REQUESTS
--- a/balancer/sidecar/downstream/connection_lifecycle.py
+++ b/balancer/sidecar/downstream/connection_lifecycle.py
@@ -16,7 +16,7 @@
     """No request came within the idle timeout."""
     EVICTED = "evicted"
     """A new connection needed its place."""
-    CLIENT_LEFT = "client_left"
+    CLIENT_DISCONNECTED = "client_left"
     """The client has closed its side, which no event of the transport reported."""
     UNREAD_RESPONSES = "unread_responses"
     """The client does not read its responses."""
--- a/balancer/sidecar/downstream/connection_registry.py
+++ b/balancer/sidecar/downstream/connection_registry.py
@@ -11,7 +11,7 @@
     """The open connections in three groups, each in the order of last use, oldest first.
 
     Args:
-        max_connections: the limit on open connections, by which `excess` and `is_crowded` are computed.
+        max_connections: the limit on open connections, by which `excess` and `is_above_half_capacity` are computed.
     """
 
     def __init__(self, max_connections: int) -> None:
@@ -35,7 +35,7 @@
         return self._open_count - self._max_connections
 
     @property
-    def is_crowded(self) -> bool:
+    def is_above_half_capacity(self) -> bool:
         """Return whether more than half of the connections allowed are open."""
         return self._open_count > self._max_connections // 2
 
@@ -79,7 +79,7 @@
         return oldest
 
     def select_eviction(
-        self, newcomer: DownstreamConnection, now_seconds: float, grace_seconds: float
+        self, new_connection: DownstreamConnection, now_seconds: float, grace_seconds: float
     ) -> DownstreamConnection:
         """Return the connection to close for a new one, which is the new one if no other can be closed.
 
@@ -93,12 +93,12 @@
             now_seconds: the event loop's time.
             grace_seconds: for how long a connection may be silent before it is evicted first.
         """
-        silent = self._oldest_silent()
-        if silent is not None and silent.seconds_waited(now_seconds) > grace_seconds:
-            return silent
-        return self._longest_idle() or silent or newcomer
+        without_request = self._oldest_without_request()
+        if without_request is not None and without_request.seconds_waited(now_seconds) > grace_seconds:
+            return without_request
+        return self._longest_idle() or without_request or new_connection
 
-    def _oldest_silent(self) -> DownstreamConnection | None:
+    def _oldest_without_request(self) -> DownstreamConnection | None:
         """Return the oldest connection that has neither sent a request nor has unread bytes."""
         for connection in self._without_request:
             if not connection.has_pending_responses and not connection.has_unread_bytes():
--- a/balancer/sidecar/downstream/listener.py
+++ b/balancer/sidecar/downstream/listener.py
@@ -93,7 +93,7 @@
     def on_connection_opened(self, connection: DownstreamConnection) -> None:
         """Admit a connection. If there are too many, another one is closed, or else this one."""
         self._connections.add(connection)
-        self._make_room(connection)
+        self._enforce_connection_limit(connection)
         if not self._sweep_timer.is_running:
             self._sweep_timer.start(self.timeouts.sweep_interval_seconds, self.sweep)
 
@@ -111,14 +111,14 @@
         if not len(self._connections):
             self._all_closed.set()
 
-    def _make_room(self, newcomer: DownstreamConnection) -> None:
+    def _enforce_connection_limit(self, new_connection: DownstreamConnection) -> None:
         excess = self._connections.excess
         aborted = self._connections.pop_lingering(excess)
         for connection in aborted:
             connection.abort(CloseReason.LINGERED)
         if excess > len(aborted):
             grace_seconds = self.timeouts.eviction_grace_seconds
-            evicted = self._connections.select_eviction(newcomer, self.now_seconds(), grace_seconds)
+            evicted = self._connections.select_eviction(new_connection, self.now_seconds(), grace_seconds)
             evicted.close(CloseReason.EVICTED)
 
     def sweep(self) -> None:
@@ -132,10 +132,10 @@
 
     def _effective_timeouts(self) -> EffectiveTimeouts:
         timeouts = self.timeouts
-        is_crowded = self._connections.is_crowded
+        is_above_half_capacity = self._connections.is_above_half_capacity
         return EffectiveTimeouts(
             timeouts=timeouts,
-            idle_seconds=timeouts.idle_crowded_seconds if is_crowded else timeouts.idle_seconds,
+            idle_seconds=timeouts.reduced_idle_seconds if is_above_half_capacity else timeouts.idle_seconds,
             linger_seconds=self.linger_timeout_seconds,
         )
 
--- a/balancer/sidecar/downstream/request_validator.py
+++ b/balancer/sidecar/downstream/request_validator.py
@@ -46,7 +46,7 @@
 _REQUEST_ID = re.compile(rb"[\x21-\x7e]{1,128}")
 """A request id: visible ASCII characters, short enough to keep the ids of all recent requests."""
 
-_FORWARDED_SPELLING = {name: name.title() for name in FORWARDED_FIELDS}
+_FORWARDED_NAMES = {name: name.title() for name in FORWARDED_FIELDS}
 """The names of the forwarded fields as they are sent to endpoints, by lower-case name."""
 
 
@@ -152,9 +152,9 @@
     """Return the head to forward, without the deadline and the empty line, which each attempt adds."""
     lines = [b"%s %s HTTP/1.1" % (head.method, head.target)]
     lines += [
-        b"%s: %s" % (_FORWARDED_SPELLING[name], value)
+        b"%s: %s" % (_FORWARDED_NAMES[name], value)
         for name, value in head.fields.items()
-        if name in _FORWARDED_SPELLING
+        if name in _FORWARDED_NAMES
     ]
     if with_idempotency_key:
         lines.append(b"Idempotency-Key: " + head.fields[IDEMPOTENCY_KEY_FIELD])
--- a/balancer/sidecar/downstream/timeout_enforcement.py
+++ b/balancer/sidecar/downstream/timeout_enforcement.py
@@ -34,8 +34,8 @@
     """
     if not connection.is_connected:
         return
-    if _has_client_left_unnoticed(connection):
-        connection.abort(CloseReason.CLIENT_LEFT)
+    if _is_disconnect_undetected(connection):
+        connection.abort(CloseReason.CLIENT_DISCONNECTED)
         return
     waited_seconds = connection.seconds_waited(now_seconds)
     if connection.lifecycle.is_lingering or not connection.is_open:
@@ -51,7 +51,7 @@
         connection.reject_request(HttpRequestError(HTTPStatus.REQUEST_TIMEOUT))
 
 
-def _has_client_left_unnoticed(connection: DownstreamConnection) -> bool:
+def _is_disconnect_undetected(connection: DownstreamConnection) -> bool:
     """Return whether the client has left while reading is paused, when no event reports it."""
     return connection.flow_control.is_reading_paused and connection.is_open and connection.is_disconnected()
 
--- a/balancer/sidecar/downstream/timeouts.py
+++ b/balancer/sidecar/downstream/timeouts.py
@@ -30,7 +30,7 @@
     idle_seconds: float = 30.0
     """Limit between two requests."""
 
-    idle_crowded_seconds: float = 2.25
+    reduced_idle_seconds: float = 2.25
     """Limit between two requests while more than half of the connections allowed are open."""
 
     unread_response_seconds: float = 5.0
--- a/balancer/sidecar/http/outbound_connection.py
+++ b/balancer/sidecar/http/outbound_connection.py
@@ -125,7 +125,7 @@
             self._complete_request(None, keep_open=False)
             return
         if response is not None:
-            self._complete_request(response, keep_open=self._parser.keeps_connection)
+            self._complete_request(response, keep_open=self._parser.keeps_alive)
 
     def eof_received(self) -> None:
         """Handle the end of the peer's side, after which the transport closes.
--- a/balancer/sidecar/http/response_parser.py
+++ b/balancer/sidecar/http/response_parser.py
@@ -50,9 +50,9 @@
         statements: the values of the headers.
     """
 
-    def __init__(self, statements: tuple[bytes, ...]) -> None:
-        super().__init__(f"response states its length {len(statements)} times")
-        self.statements = statements
+    def __init__(self, header_values: tuple[bytes, ...]) -> None:
+        super().__init__(f"response states its length {len(header_values)} times")
+        self.header_values = header_values
 
 
 class ResponseTooLargeError(ResponseError):
@@ -119,9 +119,9 @@
         self._header_bytes = 0
         """Bytes of the headers of the current head, then of the trailers."""
         self._body_bytes = 0
-        self._is_ended_by_connection = False
+        self._is_close_delimited = False
         self.received_bytes = 0
-        self.keeps_connection = False
+        self.keeps_alive = False
 
     def release_buffer(self) -> None:
         """Return the bytes of the body to the budget."""
@@ -147,12 +147,12 @@
         if error is not None:
             if self._response is None:
                 raise error
-            self.keeps_connection = False
+            self.keeps_alive = False
         return self._response
 
     def response_at_end_of_connection(self) -> HttpResponse | None:
         """Return the response that the end of the connection completes, or None if it completes none."""
-        if not self._is_ended_by_connection:
+        if not self._is_close_delimited:
             return None
         return self._build_response()
 
@@ -164,7 +164,7 @@
     def on_message_begin(self) -> None:
         """Handle the start of a response; one after the complete response makes the connection unfit."""
         if self._response is not None:
-            self.keeps_connection = False
+            self.keeps_alive = False
 
     def on_header(self, name: bytes, value: bytes) -> None:
         """Store a header of the head or a trailer of a chunked body."""
@@ -202,7 +202,7 @@
         An unsuccessful response is complete with its head: the end of the connection may never come.
         """
         if self._status == HTTPStatus.OK:
-            self._is_ended_by_connection = True
+            self._is_close_delimited = True
         else:
             self._response = HttpResponse(self._status, self._headers, b"")
 
@@ -228,7 +228,7 @@
         else:
             self._response = self._build_response()
             # After this callback, httptools has dropped the length and always returns False.
-            self.keeps_connection = self._http_parser.should_keep_alive()
+            self.keeps_alive = self._http_parser.should_keep_alive()
 
 
 def _response_error(error: Exception) -> ResponseError:
--- a/tests/sidecar/downstream/harness.py
+++ b/tests/sidecar/downstream/harness.py
@@ -20,10 +20,10 @@
 CLOSE_HEADER = b"Connection: close\r\n"
 READINESS_REQUEST = b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n"
 MALFORMED_REQUEST = b"nonsense\r\n\r\n"
-LINGER_FOR_NO_TIME = struct.pack("ii", 1, 0)
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 """Value of SO_LINGER with which a socket's close resets the connection."""
 
-Closing: TypeAlias = Callable[[Sidecar], None]
+CloseAction: TypeAlias = Callable[[Sidecar], None]
 """A way to make a sidecar close an idle connection."""
 
 TIMEOUTS = DownstreamTimeouts(sweep_interval_seconds=1e6)
@@ -73,7 +73,7 @@
 
 def reset_on_close(client: socket) -> None:
     """Let the close of a client's socket reset its connection."""
-    client.setsockopt(SOL_SOCKET, SO_LINGER, LINGER_FOR_NO_TIME)
+    client.setsockopt(SOL_SOCKET, SO_LINGER, RESET_ON_CLOSE)
 
 
 async def accepted_connection(sidecar: Sidecar) -> DownstreamConnection:
--- a/tests/sidecar/downstream/test_acceptor.py
+++ b/tests/sidecar/downstream/test_acceptor.py
@@ -33,7 +33,7 @@
         return getattr(self._listening, name)
 
 
-class Greeter(asyncio.Protocol):
+class GreetingProtocol(asyncio.Protocol):
     """Says that it has been attached to a connection."""
 
     def __init__(self, unread_since_seconds: float | None) -> None:
@@ -44,7 +44,7 @@
         cast(asyncio.Transport, transport).write(b"hello")
 
 
-async def greeting_at(address: tuple[str, int]) -> bytes:
+async def receive_greeting(address: tuple[str, int]) -> bytes:
     """Connect, and return the first bytes that come."""
     reader, writer = await asyncio.open_connection(*address)
     try:
@@ -73,16 +73,16 @@
 async def test_connection_is_accepted_after_failures(number: int) -> None:
     listening = open_listening_socket(Address("127.0.0.1", 0))
     failing = cast(socket.socket, FailingSocket(listening, number, number))
-    acceptor = Acceptor(failing, asyncio.get_running_loop(), Greeter, Metrics())
+    acceptor = Acceptor(failing, asyncio.get_running_loop(), GreetingProtocol, Metrics())
     acceptor.start()
-    assert await greeting_at(listening.getsockname()) == b"hello"
+    assert await receive_greeting(listening.getsockname()) == b"hello"
     await acceptor.close()
 
 
 @async_test
 async def test_close_attaches_connections_that_wait_already() -> None:
     listening = open_listening_socket(Address("127.0.0.1", 0))
-    acceptor = Acceptor(listening, asyncio.get_running_loop(), Greeter, Metrics())
+    acceptor = Acceptor(listening, asyncio.get_running_loop(), GreetingProtocol, Metrics())
     client = socket.create_connection(listening.getsockname())
     await acceptor.close()
     with client:
@@ -93,7 +93,7 @@
 async def test_close_while_accepting_fails_ends_at_once() -> None:
     listening = open_listening_socket(Address("127.0.0.1", 0))
     failing = cast(socket.socket, FailingSocket(listening, *[errno.ENFILE] * 3))
-    acceptor = Acceptor(failing, asyncio.get_running_loop(), Greeter, Metrics())
+    acceptor = Acceptor(failing, asyncio.get_running_loop(), GreetingProtocol, Metrics())
     acceptor.start()
     with socket.create_connection(listening.getsockname()):
         await acceptor.close()
@@ -102,22 +102,22 @@
 
 
 @async_test
-async def test_connections_that_had_to_wait_are_told_since_when() -> None:
+async def test_protocol_is_given_the_time_since_which_connection_waited() -> None:
     loop = asyncio.get_running_loop()
     waited_since_seconds: list[float | None] = []
 
-    def make_greeter(unread_since_seconds: float | None) -> Greeter:
+    def make_protocol(unread_since_seconds: float | None) -> GreetingProtocol:
         waited_since_seconds.append(unread_since_seconds)
-        return Greeter(unread_since_seconds)
+        return GreetingProtocol(unread_since_seconds)
 
     listening = open_listening_socket(Address("127.0.0.1", 0))
     failing = cast(socket.socket, FailingSocket(listening, errno.ENFILE, errno.ENFILE))
     metrics = Metrics()
-    acceptor = Acceptor(failing, loop, make_greeter, metrics)
+    acceptor = Acceptor(failing, loop, make_protocol, metrics)
     started_at_seconds = loop.time()
     acceptor.start()
     for _ in range(2):
-        assert await greeting_at(listening.getsockname()) == b"hello"
+        assert await receive_greeting(listening.getsockname()) == b"hello"
     first_seconds, second_seconds = waited_since_seconds
     assert first_seconds is not None
     assert started_at_seconds <= first_seconds <= loop.time()
--- a/tests/sidecar/downstream/test_client_disconnect.py
+++ b/tests/sidecar/downstream/test_client_disconnect.py
@@ -183,14 +183,14 @@
     response_released = asyncio.Event()
     posts: list[ReceivedRequest] = []
 
-    async def respond_at_length_and_decline_posts(received: ReceivedRequest) -> bytes:
+    async def respond_with_large_body_and_decline_posts(received: ReceivedRequest) -> bytes:
         if not received.body:
             return ok_response(b"x" * 1_000_000)
         posts.append(received)
         await response_released.wait()
         return DECLINED_RESPONSE
 
-    async with run_sidecar_with_two_endpoints(respond_at_length_and_decline_posts) as (sidecar, _):
+    async with run_sidecar_with_two_endpoints(respond_with_large_body_and_decline_posts) as (sidecar, _):
         sidecar.dispatcher.upstream.buffer_budget.max_bytes = 1 << 30
         with connect_socket(sidecar) as client:
             gets = [request_bytes() for _ in range(MAX_PIPELINED_REQUESTS - 1)]
--- a/tests/sidecar/downstream/test_connection.py
+++ b/tests/sidecar/downstream/test_connection.py
@@ -16,7 +16,7 @@
     MALFORMED_REQUEST,
     TIMEOUTS,
     ClientSession,
-    Closing,
+    CloseAction,
     accepted_connection,
     close_by_draining,
     close_by_first_byte_timeout,
@@ -48,7 +48,7 @@
 BAD_REQUEST = ExpectedResponse(b"400", b"malformed request\n")
 REQUEST_TIMEOUT = ExpectedResponse(b"408", b"Request Timeout\n")
 
-SessionClosing: TypeAlias = Callable[[ClientSession], Awaitable[ExpectedResponse]]
+SessionCloseAction: TypeAlias = Callable[[ClientSession], Awaitable[ExpectedResponse]]
 """A way to make a sidecar close the connection of a session, and the last response that is due."""
 
 
@@ -105,7 +105,7 @@
 )
 @async_test
 async def test_bytes_after_close_neither_reset_connection_nor_are_forwarded(
-    close: SessionClosing, late_bytes: bytes
+    close: SessionCloseAction, late_bytes: bytes
 ) -> None:
     """A close over unread bytes resets the connection (RFC 9112, section 9.6)."""
     async with run_client_session(limits={"sockets": 3}) as session:
@@ -129,10 +129,10 @@
     """A reset would discard what the client has not read of it yet."""
     body = b"x" * 1_000_000
 
-    async def respond_at_length(_request: ReceivedRequest) -> bytes:
+    async def respond_with_large_body(_request: ReceivedRequest) -> bytes:
         return ok_response(body)
 
-    async with run_client_session(respond_at_length) as session:
+    async with run_client_session(respond_with_large_body) as session:
         session.client.sendall(request_bytes(extra_headers=CLOSE_HEADER))
         await wait_until(lambda: session.endpoint.received_requests)
         session.client.sendall(b"x" * 100_000)
@@ -159,7 +159,7 @@
 )
 @async_test
 async def test_request_that_arrived_unread_before_close_is_answered(
-    close: Closing, earlier_requests: int
+    close: CloseAction, earlier_requests: int
 ) -> None:
     """The event loop does not turn between the arrival of the request and the close."""
     async with run_client_session(limits={"sockets": 6}) as session:
--- a/tests/sidecar/downstream/test_listener.py
+++ b/tests/sidecar/downstream/test_listener.py
@@ -67,8 +67,8 @@
 
 
 @async_test
-async def test_idle_connection_is_closed_sooner_when_crowded() -> None:
-    timeouts = DownstreamTimeouts(sweep_interval_seconds=0.05, idle_crowded_seconds=0.05)
+async def test_idle_timeout_is_shorter_above_half_capacity() -> None:
+    timeouts = DownstreamTimeouts(sweep_interval_seconds=0.05, reduced_idle_seconds=0.05)
     async with (
         run_endpoint(answer_ok) as endpoint,
         run_sidecar(endpoint.address, timeouts=timeouts, limits=LIMITS) as sidecar,
@@ -105,8 +105,8 @@
         idle_clients = [await sidecar.connect_client() for _ in range(3)]
         for client in idle_clients:
             assert (await client.exchange(request_bytes()))[0] == 200
-        silent_clients = [await sidecar.connect_client() for _ in range(8)]
-        for client in silent_clients[:4]:
+        clients_without_request = [await sidecar.connect_client() for _ in range(8)]
+        for client in clients_without_request[:4]:
             assert await client.is_closed()
         for client in idle_clients:
             assert (await client.exchange(request_bytes()))[0] == 200
@@ -142,7 +142,7 @@
 
 
 @async_test
-async def test_lingering_connections_count_and_oldest_are_evicted_first(
+async def test_lingering_connections_count_towards_limit_and_oldest_are_evicted_first(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async with (
@@ -196,11 +196,11 @@
 
 @async_test
 async def test_closed_connections_with_unread_responses_stay_within_limit() -> None:
-    async def respond_at_length(_request: ReceivedRequest) -> bytes:
+    async def respond_with_large_body(_request: ReceivedRequest) -> bytes:
         return ok_response(b"x" * 1_000_000)
 
     async with (
-        run_endpoint(respond_at_length) as endpoint,
+        run_endpoint(respond_with_large_body) as endpoint,
         run_sidecar_without_sweeps(endpoint.address, limits=LIMITS) as sidecar,
     ):
         assert sidecar.config.max_downstream_connections == MAX_CONNECTIONS
--- a/tests/sidecar/downstream/test_pipelining.py
+++ b/tests/sidecar/downstream/test_pipelining.py
@@ -37,7 +37,7 @@
         assert 1 <= max_in_flight <= MAX_PIPELINED_REQUESTS
 
 
-class HeldPipeline(NamedTuple):
+class PendingPipeline(NamedTuple):
     """As many pipelined requests as are accepted at once, which the endpoint answers once released."""
 
     sidecar: Sidecar
@@ -45,7 +45,7 @@
     client: Client
     released: asyncio.Event
 
-    def announced_seconds(self) -> list[float]:
+    def propagated_timeouts_seconds(self) -> list[float]:
         """Return the remaining time that each attempt announced to the endpoint, in seconds."""
         return [float(request.headers[b"req-deadline"]) for request in self.endpoint.received_requests]
 
@@ -54,47 +54,47 @@
         await wait_until(lambda: len(self.endpoint.received_requests) > MAX_PIPELINED_REQUESTS)
 
 
-def stop_clocks(sidecar: Sidecar) -> None:
+def freeze_clock(sidecar: Sidecar) -> None:
     """Stop the sidecar's clock, so that the times that attempts announce are exact."""
     now_ns = sidecar.dispatcher.clock.monotonic_ns()
     sidecar.dispatcher.clock.monotonic_ns = lambda: now_ns
 
 
 @contextlib.asynccontextmanager
-async def run_held_pipeline(further_requests: int = 0) -> AsyncIterator[HeldPipeline]:
+async def run_pending_pipeline(further_requests: int = 0) -> AsyncIterator[PendingPipeline]:
     """Send pipelined requests with 8 s each at time 100, some more than are accepted at once."""
     released = asyncio.Event()
 
-    async def answer_when_released(_request: ReceivedRequest) -> bytes:
+    async def respond_when_released(_request: ReceivedRequest) -> bytes:
         await released.wait()
         return ok_response()
 
     async with (
-        run_endpoint(answer_when_released) as endpoint,
+        run_endpoint(respond_when_released) as endpoint,
         run_sidecar_without_sweeps(endpoint.address) as sidecar,
     ):
-        stop_clocks(sidecar)
+        freeze_clock(sidecar)
         set_time(sidecar, 100.0)
         client = await sidecar.connect_client()
         count = MAX_PIPELINED_REQUESTS + further_requests
         client.writer.write(b"".join(request_bytes(deadline="8") for _ in range(count)))
         await wait_until(lambda: len(endpoint.received_requests) == MAX_PIPELINED_REQUESTS)
-        yield HeldPipeline(sidecar, endpoint, client, released)
+        yield PendingPipeline(sidecar, endpoint, client, released)
 
 
 @async_test
-async def test_pipelined_request_that_waited_for_room_has_less_time_left() -> None:
-    async with run_held_pipeline(further_requests=1) as pipeline:
+async def test_request_that_waited_for_full_pipeline_has_less_time_left() -> None:
+    async with run_pending_pipeline(further_requests=1) as pipeline:
         set_time(pipeline.sidecar, 103.0)
         pipeline.released.set()
         await pipeline.wait_for_further_request()
-        assert pipeline.announced_seconds() == [7.99] * MAX_PIPELINED_REQUESTS + [4.99]
+        assert pipeline.propagated_timeouts_seconds() == [7.99] * MAX_PIPELINED_REQUESTS + [4.99]
 
 
 @async_test
 async def test_request_read_after_a_pause_counts_from_the_start_of_the_pause() -> None:
     """Its bytes wait in the socket, and nothing reports when they arrived."""
-    async with run_held_pipeline() as pipeline:
+    async with run_pending_pipeline() as pipeline:
         sidecar, client = pipeline.sidecar, pipeline.client
         [connection] = sidecar.listener.accepting_connections
         assert connection.flow_control.is_reading_paused
@@ -104,19 +104,19 @@
         set_time(sidecar, 103.0)
         pipeline.released.set()
         await pipeline.wait_for_further_request()
-        assert pipeline.announced_seconds()[-1] == 4.99
+        assert pipeline.propagated_timeouts_seconds()[-1] == 4.99
         for _ in range(MAX_PIPELINED_REQUESTS + 1):
             assert (await client.read_response())[0] == 200
         client.writer.write(request_bytes(deadline="8"))  # no longer behind the pause
         assert (await client.read_response())[0] == 200
-        assert pipeline.announced_seconds()[-1] == 7.99
+        assert pipeline.propagated_timeouts_seconds()[-1] == 7.99
 
 
 @async_test
 async def test_request_that_is_read_in_small_parts_counts_from_when_it_had_arrived() -> None:
     """The socket had all of it when its first part was read; a read may return less than there is."""
     async with run_client_session() as session:
-        stop_clocks(session.sidecar)
+        freeze_clock(session.sidecar)
         session.client.sendall(b"x" * 10)
         assert session.connection.has_unread_bytes()
         raw = request_bytes(deadline="8")
@@ -130,7 +130,7 @@
 
 @async_test
 async def test_pipelined_request_whose_time_is_over_is_answered_and_not_sent() -> None:
-    async with run_held_pipeline(further_requests=1) as pipeline:
+    async with run_pending_pipeline(further_requests=1) as pipeline:
         set_time(pipeline.sidecar, 109.0)
         pipeline.released.set()
         statuses = [(await pipeline.client.read_response())[0] for _ in range(MAX_PIPELINED_REQUESTS + 1)]
--- a/tests/sidecar/downstream/test_request_reader.py
+++ b/tests/sidecar/downstream/test_request_reader.py
@@ -32,7 +32,7 @@
     assert arrival_times(reader) == [1.0, 2.0, 3.0]
 
 
-def test_bytes_one_by_one_count_from_their_first_within_the_resolution() -> None:
+def test_bytes_within_resolution_share_arrival_time_of_first() -> None:
     reader = RequestReader()
     raw = request_bytes()
     step_seconds = 2 * ARRIVAL_RESOLUTION_SECONDS / len(raw)
@@ -43,7 +43,7 @@
     assert end_seconds - ARRIVAL_RESOLUTION_SECONDS <= arrived_at_seconds <= end_seconds
 
 
-def test_cleared_bytes_leave_no_time() -> None:
+def test_clear_discards_arrival_times() -> None:
     reader = RequestReader()
     reader.feed(request_bytes()[:9], 1.0)
     reader.clear()
--- a/tests/sidecar/downstream/test_requests_over_sockets.py
+++ b/tests/sidecar/downstream/test_requests_over_sockets.py
@@ -34,13 +34,13 @@
 
 @async_test
 async def test_split_and_pipelined_requests_are_answered_in_order() -> None:
-    first_may_end = asyncio.Event()
+    first_response_released = asyncio.Event()
 
     async def script(request: ReceivedRequest) -> bytes:
         if request.headers.get(b"req-extra") == b"n=0":
-            await first_may_end.wait()
+            await first_response_released.wait()
         else:
-            first_may_end.set()
+            first_response_released.set()
         return ok_response(b"answer " + request.headers[b"req-extra"][2:])
 
     async with run_endpoint(script) as endpoint, run_sidecar(endpoint.address) as sidecar:
@@ -58,20 +58,20 @@
 
 @async_test
 async def test_draining_sidecar_answers_pipelined_requests_before_it_closes() -> None:
-    may_answer = asyncio.Event()
+    responses_released = asyncio.Event()
 
-    async def answer_later(request: ReceivedRequest) -> bytes:
-        await may_answer.wait()
+    async def respond_when_released(request: ReceivedRequest) -> bytes:
+        await responses_released.wait()
         return ok_response(b"answer " + request.headers[b"req-extra"][2:])
 
-    async with run_endpoint(answer_later) as endpoint, run_sidecar(endpoint.address) as sidecar:
+    async with run_endpoint(respond_when_released) as endpoint, run_sidecar(endpoint.address) as sidecar:
         client = await sidecar.connect_client()
         client.writer.write(
             b"".join(request_bytes(extra_headers=b"Req-Extra: n=%d\r\n" % number) for number in range(3))
         )
         await wait_until(lambda: len(endpoint.received_requests) >= 3)
         sidecar.listener.is_draining = True
-        may_answer.set()
+        responses_released.set()
         responses = [await client.read_response() for _ in range(3)]
         assert [response.body for response in responses] == [b"answer 0", b"answer 1", b"answer 2"]
         assert [b"connection" in response.headers for response in responses] == [False, False, True]
--- a/tests/sidecar/http/test_outbound_connection.py
+++ b/tests/sidecar/http/test_outbound_connection.py
@@ -24,7 +24,7 @@
 
 
 @contextlib.asynccontextmanager
-async def connected() -> AsyncIterator[tuple[OutboundConnection, socket.socket]]:
+async def open_connection() -> AsyncIterator[tuple[OutboundConnection, socket.socket]]:
     """A connection, and the socket of its peer, on which a test acts at once."""
     with socket.create_server(("127.0.0.1", 0)) as server:
         loop = asyncio.get_running_loop()
@@ -54,7 +54,7 @@
 @contextlib.asynccontextmanager
 async def pending_exchange() -> AsyncIterator[PendingExchange]:
     """Send a request on a new connection."""
-    async with connected() as (connection, peer):
+    async with open_connection() as (connection, peer):
         yield PendingExchange(connection, peer)
 
 
@@ -67,7 +67,7 @@
 @async_test
 async def test_connection_closed_by_peer_is_not_reusable() -> None:
     """The end is unread in the kernel: the event loop has not run since, so no callback has told of it."""
-    async with connected() as (connection, peer):
+    async with open_connection() as (connection, peer):
         assert connection.is_reusable()
         peer.close()
         assert not connection.is_reusable()
@@ -75,7 +75,7 @@
 
 @async_test
 async def test_send_on_reset_connection_returns_false() -> None:
-    async with connected() as (connection, peer):
+    async with open_connection() as (connection, peer):
         reset_connection(peer)
         responses: list[HttpResponse | None] = []
         assert connection.send(REQUEST, responses.append) is False
@@ -85,7 +85,7 @@
 @async_test
 async def test_close_ends_request_in_flight_before_event_loop_runs() -> None:
     """Left to the event loop's next turn, two copies of the request could be in flight until then."""
-    async with connected() as (connection, peer):
+    async with open_connection() as (connection, peer):
         assert connection.send(REQUEST, lambda _response: None)
         connection.close()  # the event loop has not run since
         assert peer.recv(100) == REQUEST
@@ -185,7 +185,7 @@
     ],
 )
 @async_test
-async def test_head_is_enough_for_unsuccessful_response(raw: bytes, outcome: AttemptOutcome) -> None:
+async def test_unsuccessful_response_is_complete_with_its_head(raw: bytes, outcome: AttemptOutcome) -> None:
     """Its body is not passed on, so it is not waited for, nor does it matter what becomes of it."""
     async with pending_exchange() as exchange:
         exchange.peer.sendall(raw)  # the body does not end
--- a/tests/sidecar/http/test_response_parser.py
+++ b/tests/sidecar/http/test_response_parser.py
@@ -22,7 +22,7 @@
 WITHOUT_LENGTH = b"HTTP/1.1 200 OK\r\n\r\n"
 
 
-def parser_of_next_response(budget_bytes: int = 10 * MAX_BODY_BYTES) -> ResponseParser:
+def parser_awaiting_response(budget_bytes: int = 10 * MAX_BODY_BYTES) -> ResponseParser:
     parser = ResponseParser(BufferBudget(budget_bytes))
     parser.begin_response(MAX_BODY_BYTES)
     return parser
@@ -30,12 +30,12 @@
 
 @pytest.mark.parametrize("part_length", [1, 7, len(COMPLETE)])
 def test_response_is_the_same_however_it_is_split(part_length: int) -> None:
-    parser = parser_of_next_response()
+    parser = parser_awaiting_response()
     parts = [COMPLETE[start : start + part_length] for start in range(0, len(COMPLETE), part_length)]
     responses = [parser.feed(part) for part in parts]
     assert responses[:-1] == [None] * (len(parts) - 1)
     assert responses[-1] == HttpResponse(200, [(b"x-shard", b"7"), (b"content-length", b"4")], b"done")
-    assert parser.keeps_connection
+    assert parser.keeps_alive
     assert parser.received_bytes == len(COMPLETE)
 
 
@@ -55,17 +55,17 @@
     ],
     ids=["stated length", "no length", "chunk", "header", "unfinished header", "chunk extension"],
 )
-def test_too_large_response_is_refused(raw: bytes, size_bytes: int, max_bytes: int) -> None:
+def test_too_large_response_raises_error(raw: bytes, size_bytes: int, max_bytes: int) -> None:
     with pytest.raises(ResponseTooLargeError) as caught:
-        parser_of_next_response().feed(raw)
+        parser_awaiting_response().feed(raw)
     assert (caught.value.size_bytes, caught.value.max_bytes) == (size_bytes, max_bytes)
 
 
-def test_response_with_two_transfer_encodings_is_refused() -> None:
+def test_response_with_two_transfer_encodings_raises_error() -> None:
     raw = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip\r\nTransfer-Encoding: chunked\r\n\r\n"
     with pytest.raises(AmbiguousLengthError) as caught:
-        parser_of_next_response().feed(raw)
-    assert caught.value.statements == (b"gzip", b"chunked")
+        parser_awaiting_response().feed(raw)
+    assert caught.value.header_values == (b"gzip", b"chunked")
 
 
 @pytest.mark.parametrize(
@@ -79,12 +79,12 @@
     ],
     ids=["noise", "length", "two lengths", "length and chunked", "upgrade"],
 )
-def test_malformed_response_is_refused(raw: bytes) -> None:
+def test_malformed_response_raises_error(raw: bytes) -> None:
     with pytest.raises(MalformedResponseError):
-        parser_of_next_response().feed(raw)
+        parser_awaiting_response().feed(raw)
 
 
-def test_body_beyond_shared_buffer_budget_is_refused() -> None:
+def test_body_beyond_shared_buffer_budget_raises_error() -> None:
     budget = BufferBudget(1500)
     first, second = ResponseParser(budget), ResponseParser(budget)
     for parser in (first, second):
@@ -99,17 +99,17 @@
     assert budget.used_bytes == 0
 
 
-@pytest.mark.parametrize("more", [b" noise", COMPLETE, b"HTTP/1.1 103 Early Hints\r\n\r\n"])
-def test_surplus_bytes_leave_response_valid_and_close_connection(more: bytes) -> None:
-    parser = parser_of_next_response()
-    response = parser.feed(COMPLETE + more)
+@pytest.mark.parametrize("surplus", [b" noise", COMPLETE, b"HTTP/1.1 103 Early Hints\r\n\r\n"])
+def test_surplus_bytes_leave_response_valid_and_close_connection(surplus: bytes) -> None:
+    parser = parser_awaiting_response()
+    response = parser.feed(COMPLETE + surplus)
     assert response is not None
     assert (response.status, response.body) == (200, b"done")
-    assert not parser.keeps_connection
+    assert not parser.keeps_alive
 
 
 def test_end_of_connection_completes_only_response_without_length() -> None:
-    parser = parser_of_next_response()
+    parser = parser_awaiting_response()
     assert parser.response_at_end_of_connection() is None
     assert parser.feed(WITHOUT_LENGTH + b"do") is None
     assert parser.feed(b"ne") is None
@@ -120,31 +120,31 @@
 
 
 def test_interim_response_is_skipped_with_its_headers() -> None:
-    response = parser_of_next_response().feed(b"HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" + COMPLETE)
+    response = parser_awaiting_response().feed(b"HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" + COMPLETE)
     assert response == HttpResponse(200, [(b"x-shard", b"7"), (b"content-length", b"4")], b"done")
 
 
 def test_httptools_reports_keep_alive_only_inside_its_callback() -> None:
     """The parser relies on it: asked later, httptools answers that the connection is not kept."""
-    answers: list[bool] = []
+    results: list[bool] = []
 
     class Callbacks:
         def on_message_complete(self) -> None:
-            answers.append(parser.should_keep_alive())
+            results.append(parser.should_keep_alive())
 
     parser = httptools.HttpResponseParser(Callbacks())
     parser.feed_data(ok_response())
-    assert answers == [True]
+    assert results == [True]
     assert not parser.should_keep_alive()
 
 
-def test_second_response_in_same_segment_adds_nothing_to_the_first() -> None:
+def test_second_response_in_same_segment_is_ignored() -> None:
     second = b"HTTP/1.1 500 Late\r\nX-Other: 1\r\nContent-Length: 5\r\n\r\nother"
-    response = parser_of_next_response().feed(COMPLETE + second)
+    response = parser_awaiting_response().feed(COMPLETE + second)
     assert response == HttpResponse(200, [(b"x-shard", b"7"), (b"content-length", b"4")], b"done")
 
 
-def test_trailer_after_a_body_larger_than_a_head_is_taken() -> None:
+def test_trailer_after_body_larger_than_head_limit_is_accepted() -> None:
     parser = ResponseParser(BufferBudget(10 * MAX_HEAD_BYTES))
     parser.begin_response(2 * MAX_HEAD_BYTES)
     size = MAX_HEAD_BYTES + 1
@@ -153,6 +153,6 @@
     assert len(response.body) == size
 
 
-def test_trailers_larger_than_a_head_are_refused() -> None:
+def test_trailers_larger_than_head_limit_raise_error() -> None:
     with pytest.raises(ResponseTooLargeError):
-        parser_of_next_response().feed(CHUNKED + b"0\r\nA: " + b"x" * MAX_HEAD_BYTES + b"\r\n\r\n")
+        parser_awaiting_response().feed(CHUNKED + b"0\r\nA: " + b"x" * MAX_HEAD_BYTES + b"\r\n\r\n")
