--- a/balancer/sidecar/downstream/__init__.py
+++ b/balancer/sidecar/downstream/__init__.py
@@ -1,1 +1,1 @@
-"""The side of the sidecar that faces the application: an HTTP/1.1 server for its clients."""
+"""The downstream side of the sidecar: an HTTP/1.1 server for the clients of the application."""
--- a/balancer/sidecar/downstream/acceptor.py
+++ b/balancer/sidecar/downstream/acceptor.py
@@ -15,19 +15,23 @@
 from balancer.sidecar.runtime.timers import OneShotTimer
 
 LISTEN_BACKLOG = 512
-"""Number of connections that may wait to be accepted: more than the sidecar may have open."""
+"""Number of connections that may wait to be accepted; more than the sidecar may have open."""
 
 MAX_ACCEPTED_PER_ITERATION = 64
-"""Number of connections accepted in one turn of the event loop, so that open ones are served meanwhile."""
+"""Maximum number of connections accepted in one iteration of the event loop.
+
+The limit lets the event loop serve the open connections in between.
+"""
 
 RETRY_DELAY_SECONDS = 0.01
 """Seconds from a failure to accept until the next attempt.
 
-Waiting connections are neither closed nor served until then, so it is far shorter than clients' timeouts.
+Waiting connections are neither closed nor served until then, so the delay is far shorter than clients'
+timeouts.
 """
 
 ProtocolFactory: TypeAlias = Callable[[float | None], asyncio.Protocol]
-"""Makes the protocol of a connection, given since when its bytes may have waited; see `Acceptor`."""
+"""Creates the protocol of a connection; `Acceptor` describes its argument."""
 
 log = logging.getLogger(__name__)
 
@@ -45,13 +49,14 @@
     """Accepts the connections of a listening socket, and attaches a new protocol to each.
 
     The event loop's own server closes new connections unread when descriptors run out, and the requests on
-    them are lost. This one leaves them in the backlog until there are descriptors again.
+    them are lost. This class leaves them in the backlog until descriptors are free again.
 
     Args:
         listening: the listening socket, which this object owns.
         loop: the event loop.
-        make_protocol: makes the protocol of each connection. Its argument is since when the connection's
-            bytes may have waited, by the loop's time in seconds; None if the connection did not have to wait.
+        make_protocol: creates the protocol of each connection. Its argument is the event loop's time, in
+            seconds, since which bytes of the client may have been waiting unread; None if the connection
+            was accepted without a delay.
         metrics: counts the failures.
     """
 
@@ -93,7 +98,7 @@
         self._accept_up_to(MAX_ACCEPTED_PER_ITERATION)
 
     def _accept_up_to(self, count: int) -> None:
-        """Accept at most this many of the connections that wait, until none is left or accepting fails."""
+        """Accept up to this many of the waiting connections; stop when none is left or accepting fails."""
         for _ in range(count):
             try:
                 connection, _address = self._listening.accept()
@@ -101,14 +106,14 @@
                 self._blocked_since_seconds = None
                 return
             except ConnectionAbortedError:
-                continue  # this client has left; others may wait
+                continue  # this client has disconnected; others may be waiting
             except OSError as error:
                 self._retry_later(error)
                 return
             self._open(connection)
 
     def _retry_later(self, error: OSError) -> None:
-        """Accept again after a delay. Until then the socket, which stays readable, is not watched."""
+        """Stop watching the socket, which stays readable, and accept again after a delay."""
         error_name = errno.errorcode.get(error.errno or 0, "other")
         self._metrics.count(Metric.ACCEPT_FAILURES, error_name)
         if self._blocked_since_seconds is None:
@@ -133,6 +138,6 @@
             # Small writes must not wait for the acknowledgement of earlier ones.
             connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             await self._loop.connect_accepted_socket(make_protocol, connection)
-        except OSError as error:  # the client has reset the connection meanwhile
+        except OSError as error:  # the client has reset the connection in the meantime
             log.info("accepted_connection_lost error=%r", error)
             connection.close()
--- a/balancer/sidecar/downstream/client_transport.py
+++ b/balancer/sidecar/downstream/client_transport.py
@@ -11,7 +11,7 @@
 
 
 class ClientTransport:
-    """A transport of the event loop, from before it is attached until after it is detached.
+    """A wrapper of the event loop's transport, usable before it is attached and after it is detached.
 
     Attributes:
         is_reading_paused: whether nothing is read from the client for now.
@@ -33,25 +33,25 @@
         self._hang_up_poll.register(self._file_descriptor, select.POLLRDHUP)
 
     def detach(self) -> None:
-        """Drop the transport, as the connection is lost."""
+        """Drop the transport after the connection is lost."""
         self._transport = None
 
     @property
     def is_connected(self) -> bool:
-        """Return whether there is a transport, though the event loop may be closing it."""
+        """Return whether a transport is attached, even if the event loop is closing it."""
         return self._transport is not None
 
     def is_open(self) -> bool:
-        """Return whether there is a transport that is not closing."""
+        """Return whether a transport is attached that is not closing."""
         return self._transport is not None and not self._transport.is_closing()
 
     def is_peer_closed(self) -> bool:
         """Return whether the peer has closed its side or reset the connection.
 
-        The socket is polled: no event reports it while reading is paused, nor before the event loop's next
-        turn.
+        The socket is polled because the event loop does not report the close while reading is paused, and
+        otherwise not before its next iteration.
         """
-        # Errors and hang-ups are always reported.
+        # poll(2) reports errors and hang-ups in addition to the registered events.
         return not self.is_open() or bool(self._hang_up_poll.poll(0))
 
     def has_unread_bytes(self) -> bool:
@@ -63,12 +63,12 @@
         return bool(readable_poll.poll(0))
 
     def write(self, data: bytes) -> None:
-        """Send bytes. Without a connection they are dropped."""
+        """Send bytes, or drop them if no transport is attached."""
         if self._transport is not None:
             self._transport.write(data)
 
     def set_reading_paused(self, paused: bool) -> None:
-        """Pause or resume reading, if that changes anything and the connection is open."""
+        """Pause or resume reading; no effect if the connection is not open."""
         if paused == self.is_reading_paused or not self.is_open():
             return
         assert self._transport is not None
@@ -85,7 +85,8 @@
         if self._transport.get_write_buffer_size():
             self._transport.write_eof()
         else:
-            # The event loop would do it in a later turn only. A request that it reads before would be lost.
+            # The event loop would close the side only in a later iteration, and a request that it reads
+            # before that would be lost.
             shut_down_socket(self._file_descriptor, socket.SHUT_WR)
 
     def abort(self) -> None:
--- a/balancer/sidecar/downstream/connection.py
+++ b/balancer/sidecar/downstream/connection.py
@@ -25,21 +25,21 @@
 READINESS_METHOD = b"GET"
 """Method of a readiness check."""
 READINESS_PATH = b"/up"
-"""Path of a readiness check, which the sidecar answers by itself."""
+"""Path of a readiness check, which the sidecar answers without the dispatcher."""
 
 
 class DownstreamConnection(asyncio.Protocol):
     """One connection of a client, from its first byte until both sides are closed.
 
-    It accepts requests until it is closed or one of them is the last. Then it lingers (RFC 9112, section
-    9.6): its own side is closed, and what the client still sends is discarded until the client closes too.
-    Closed at once over bytes that have arrived unread, the connection would be reset and a response under way
-    lost.
+    It accepts requests until it is closed or its last request has arrived. Then it lingers (RFC 9112, section
+    9.6): the sidecar's side is closed, and bytes that still arrive are discarded until the client closes its
+    side too. If both sides were closed while bytes were unread, the kernel would reset the connection, and
+    the client could lose a response that is under way.
 
     Args:
         manager: the listener.
-        unread_since_seconds: since when bytes may have waited in the socket, where the connection could not
-            be accepted at once.
+        unread_since_seconds: the event loop's time, in seconds, since which bytes may have been waiting in
+            the socket; None if the connection was accepted without a delay.
 
     Attributes:
         lifecycle: the phase of the connection.
@@ -108,7 +108,11 @@
         return self._transport.has_unread_bytes()
 
     def seconds_waited(self, now_seconds: float) -> float:
-        """Return for how long the connection has waited for what it waits for now."""
+        """Return for how many seconds the current wait has lasted.
+
+        A wait starts when the connection is made, when bytes arrive on an idle connection, when writing is
+        blocked or unblocked, with each response, and when the sidecar's side is closed.
+        """
         return now_seconds - self._waiting_since_seconds
 
     def _restart_wait(self) -> None:
@@ -117,7 +121,7 @@
     # ---- callbacks of the event loop
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Register the connection, which has just been accepted."""
+        """Register the new connection with the listener."""
         self._transport.attach(transport)
         self._restart_wait()
         self._metrics.count(Metric.DOWNSTREAM_CONNECTIONS)
@@ -139,14 +143,14 @@
     def eof_received(self) -> None:
         """Abandon the client's requests, and let the event loop close the connection.
 
-        The event loop closes it once all written responses have left. The client may never read them, so the
-        connection counts as lingering from here on.
+        The event loop closes it once all written responses have been sent. The client may never read them,
+        so the connection counts as lingering from now on.
         """
         self._manager.on_connection_lingering(self)
         self._abandon_requests()
 
     def connection_lost(self, _error: Exception | None) -> None:
-        """Abandon the client's requests, as its connection is closed."""
+        """Deregister the closed connection, and abandon the client's requests."""
         self._transport.detach()
         self._manager.on_connection_closed(self)
         self._abandon_requests()
@@ -158,7 +162,7 @@
         self._update_reading()
 
     def resume_writing(self) -> None:
-        """Continue with the requests that have been read meanwhile."""
+        """Continue with the requests that were read while writing was blocked."""
         self.flow_control.is_write_blocked = False
         self._restart_wait()
         self._process_requests()
@@ -169,8 +173,8 @@
     # ---- requests
 
     def _process_requests(self) -> None:
-        """Accept the requests that are complete, as far as there is room for them."""
-        if self._is_processing_requests:  # a response that came at once has made room: the loop goes on
+        """Accept the complete requests in the buffer, as long as `_can_accept_request` allows it."""
+        if self._is_processing_requests:  # called for an immediate response; the loop below goes on
             return
         self._is_processing_requests = True
         try:
@@ -195,7 +199,7 @@
         )
 
     def _send_continue_if_expected(self) -> None:
-        # An interim response must not come between the responses to earlier requests.
+        # The interim response must not be sent before the responses to earlier requests.
         if self._reader.take_continue_expectation() and not self._exchanges:
             self._transport.write(CONTINUE_RESPONSE)
 
@@ -221,16 +225,16 @@
         return exchange
 
     def reject_request(self, error: HttpRequestError) -> None:
-        """Respond to the current request with an error, in its turn, and end the connection.
+        """Respond to the current request with an error after earlier responses, and end the connection.
 
-        The rest of what the client sends can't be divided into requests.
+        The following bytes can't be split into requests, as the end of the current one is unknown.
         """
         self._metrics.count(Metric.REQUESTS_REFUSED, str(error.status.value))
         self._reader.clear()
         self._open_exchange(is_last=True).respond(request_error_response(error))
 
     def _abandon_requests(self) -> None:
-        """Abandon every request that has no response, as the client has left."""
+        """Abandon every request that has no response, as the client has disconnected."""
         self.lifecycle.stop_accepting_requests()
         self._reader.clear()
         for request_id in self._exchanges.abandon():
@@ -239,11 +243,11 @@
     # ---- responses
 
     def send_ready_responses(self) -> None:
-        """Send the responses whose turn has come, then accept the requests that waited for room."""
+        """Send the responses that are next in order, then accept requests that waited in the buffer."""
         while (response := self._exchanges.first_response()) is not None:
             exchange = self._exchanges.popleft()
             self._restart_wait()
-            # While the listener drains, the requests accepted on the connection before are answered first.
+            # While the listener drains, requests that were accepted before on this connection are answered.
             is_last = exchange.is_last or (self._manager.is_draining and self.is_idle)
             self._transport.write(encode_response(response, close=is_last))
             if is_last:
@@ -253,15 +257,15 @@
     # ---- closing
 
     def close(self, reason: CloseReason) -> None:
-        """Close the sidecar's side, and the connection once the client closes its own or a timeout is over.
+        """Close the sidecar's side, and the connection once the client closes its own or a timeout expires.
 
-        Every graceful close comes through here: no request may be unanswered then.
+        Every graceful close calls this method. It records a violation if responses are still pending.
         """
         self.lifecycle.stop_accepting_requests()
         if self.lifecycle.phase is ConnectionPhase.LINGERING or not self._transport.is_open():
             return
         if self._exchanges:
-            detail = f"{len(self._exchanges)} requests unanswered, closed as {reason}"
+            detail = f"{len(self._exchanges)} responses pending at a close with reason {reason}"
             self._metrics.record_violation(Invariant.CLOSE_AFTER_ANSWERS, detail)
         self._metrics.count(Metric.DOWNSTREAM_CLOSES, reason)
         self.lifecycle.begin_lingering()
@@ -271,7 +275,7 @@
         self._update_reading()
 
     def close_unless_unread(self, reason: CloseReason) -> None:
-        """Close between requests, unless bytes have arrived unread: they may be a request to answer first."""
+        """Close an idle connection, unless bytes are unread: they may be a request to answer first."""
         if not self.has_unread_bytes():
             self.close(reason)
 
--- a/balancer/sidecar/downstream/connection_lifecycle.py
+++ b/balancer/sidecar/downstream/connection_lifecycle.py
@@ -9,30 +9,33 @@
     """Why the sidecar closes its side of a connection."""
 
     LAST_RESPONSE = "last_response"
-    """The client asked for it, or its request could not be parsed."""
+    """The client asked for the close, or sent an invalid request."""
     DRAINING = "draining"
     """The sidecar shuts down."""
     IDLE = "idle"
     """No request came within the idle timeout."""
     EVICTED = "evicted"
-    """A new connection needed its place."""
+    """The limit on connections was exceeded by a new connection."""
     CLIENT_DISCONNECTED = "client_left"
-    """The client has closed its side, which no event of the transport reported."""
+    """The client has disconnected without an event of the transport that reports it."""
     UNREAD_RESPONSES = "unread_responses"
     """The client does not read its responses."""
     LINGERED = "lingered"
-    """The client did not close its side in time, or its place was needed."""
+    """The client did not close its side in time, or a new connection exceeded the limit on connections."""
 
 
 class ConnectionPhase(Enum):
-    """How far a connection has come towards its end."""
+    """The phases of a connection, in their order; phases may be skipped."""
 
     ACCEPTING_REQUESTS = auto()
     """Requests are accepted."""
     FINISHING = auto()
-    """No further request is accepted: the last one was, or the client has left. Responses may be pending."""
+    """No further request is accepted, but responses may be pending.
+
+    The last request has arrived, or the client has disconnected.
+    """
     LINGERING = auto()
-    """The sidecar's side is closed; the client's bytes are discarded until it closes its own side."""
+    """The sidecar's side is closed; bytes from the client are discarded until it closes its own side."""
 
 
 class ConnectionLifecycle:
@@ -54,7 +57,7 @@
 
     @property
     def is_lingering(self) -> bool:
-        """Return whether the sidecar's side is closed and the client's side is waited for."""
+        """Return whether the sidecar's side is closed and the client's side is still open."""
         return self.phase is ConnectionPhase.LINGERING
 
     def stop_accepting_requests(self) -> None:
--- a/balancer/sidecar/downstream/connection_registry.py
+++ b/balancer/sidecar/downstream/connection_registry.py
@@ -8,10 +8,11 @@
 
 
 class ConnectionRegistry:
-    """The open connections in three groups, each in the order of last use, oldest first.
+    """The open connections in three groups, each in the order of last use, least recently used first.
 
     Args:
-        max_connections: the limit on open connections, by which `excess` and `is_above_half_capacity` are computed.
+        max_connections: the limit on open connections, from which `excess` and `is_above_half_capacity` are
+            computed.
     """
 
     def __init__(self, max_connections: int) -> None:
@@ -23,7 +24,7 @@
         self._lingering: dict[DownstreamConnection, None] = {}
         """Connections of which the sidecar's side is closed."""
         self._open_count = 0
-        """Number of descriptors in use: by all of the above, and by aborted connections until their loss."""
+        """Number of descriptors in use: by all of the above, and by aborted connections until `remove`."""
 
     def __len__(self) -> int:
         """Return the number of connections whose file descriptor is in use."""
@@ -81,17 +82,22 @@
     def select_eviction(
         self, new_connection: DownstreamConnection, now_seconds: float, grace_seconds: float
     ) -> DownstreamConnection:
-        """Return the connection to close for a new one, which is the new one if no other can be closed.
+        """Return the connection to close for a new one: the new one itself if no other can be closed.
 
-        The order is: the oldest silent connection whose grace period is over; the connection that has been
-        idle for longest; the oldest silent connection. A client may take a moment from connecting to sending
-        its request. Evicted during the grace period, it would lose its place to clients that are no further,
-        while connections that once carried a request stay idle.
+        The order of preference is:
+
+        - the oldest connection without a request, if its grace period is over;
+        - the connection that has been idle for longest since its last request;
+        - the oldest connection without a request.
+
+        A client may take a moment from connecting to sending its request. Without the grace period, it could
+        be evicted for a client that has not sent a request either, while connections that have carried a
+        request stay open and idle.
 
         Args:
-            newcomer: the new connection.
+            new_connection: the new connection.
             now_seconds: the event loop's time.
-            grace_seconds: for how long a connection may be silent before it is evicted first.
+            grace_seconds: how long a connection may go without a request before it is evicted first.
         """
         without_request = self._oldest_without_request()
         if without_request is not None and without_request.seconds_waited(now_seconds) > grace_seconds:
@@ -99,14 +105,17 @@
         return self._longest_idle() or without_request or new_connection
 
     def _oldest_without_request(self) -> DownstreamConnection | None:
-        """Return the oldest connection that has neither sent a request nor has unread bytes."""
+        """Return the oldest connection that has sent no valid request and can be closed, if there is one.
+
+        A connection with pending responses or unread bytes can't be closed.
+        """
         for connection in self._without_request:
             if not connection.has_pending_responses and not connection.has_unread_bytes():
                 return connection
         return None
 
     def _longest_idle(self) -> DownstreamConnection | None:
-        """Return the connection that has been idle for longest since its last request."""
+        """Return the connection that has been idle for longest since its last request, if there is one."""
         for connection in self._with_request:
             if connection.is_idle and not connection.has_unread_bytes():
                 return connection
--- a/balancer/sidecar/downstream/exchange.py
+++ b/balancer/sidecar/downstream/exchange.py
@@ -9,17 +9,17 @@
 from balancer.sidecar.http.message import HttpResponse
 
 MAX_PIPELINED_REQUESTS = 16
-"""Requests accepted on one connection ahead of the response to the first of them.
+"""Maximum number of requests on one connection whose responses have not been sent.
 
-Reading pauses there, so that a client that pipelines without limit can't fill the memory of the sidecar.
+Reading pauses at this limit, so that a client that pipelines without limit can't exhaust the memory.
 """
 
 
 class ExchangeOwner(Protocol):
-    """What an exchange needs of its connection."""
+    """The part of a connection that its exchanges use."""
 
     def send_ready_responses(self) -> None:
-        """Send the responses whose turn has come."""
+        """Send the responses that are next in the order of the requests."""
 
     def is_disconnected(self) -> bool:
         """Return whether the client has closed its side."""
@@ -43,7 +43,7 @@
         self.response: HttpResponse | None = None
 
     def respond(self, response: HttpResponse) -> None:
-        """Set the response, which is sent now or in its turn."""
+        """Set the response, which is sent once all earlier responses have been."""
         self.response = response
         self._owner.send_ready_responses()
 
@@ -52,7 +52,7 @@
         self.respond(forwarded_response(response))
 
     def reject(self, retry_after_ns: int) -> None:
-        """Respond that the request was not executed, with a Retry-After (0: without)."""
+        """Respond that the request was not executed; without a Retry-After if it is 0."""
         self.respond(rejected_response(retry_after_ns))
 
     def fail(self, timed_out: bool) -> None:
@@ -60,7 +60,7 @@
         self.respond(failed_response(timed_out))
 
     def is_disconnected(self) -> bool:
-        """Return whether the client has left, so that nobody waits for the response."""
+        """Return whether the client has disconnected and no longer waits for the response."""
         return self._owner.is_disconnected()
 
 
--- a/balancer/sidecar/downstream/flow_control.py
+++ b/balancer/sidecar/downstream/flow_control.py
@@ -1,4 +1,4 @@
-"""Flow control of a client's connection: when bytes are read, and when unread ones count as arrived."""
+"""Flow control of a client's connection: when bytes are read, and the arrival time of unread bytes."""
 
 from __future__ import annotations
 
@@ -10,27 +10,28 @@
 MAX_DISCARDED_BYTES_LINGERING = 1024 * 1024
 """Bytes that are read and discarded on a lingering connection before reading pauses.
 
-That covers what a client may have sent before it learns of the close; one that sends more is flooding.
+The limit covers what a client may send before it notices the close. A client that sends more is flooding.
 """
 
 MAX_DISCARDED_BYTES_FINISHING = MAX_REQUEST_BODY_BYTES
 """Bytes that are read and discarded after the last request while its response is pending.
 
-Reading goes on to notice that the client leaves; a client that sends more than one request body is flooding.
+Reading continues in order to detect a disconnect. A client that sends more than one request body is flooding.
 """
 
 
 class FlowControl:
-    """Pauses reading while requests or responses pile up, and remembers since when bytes may be unread.
+    """Pauses reading while requests or responses accumulate, and tracks since when bytes may be unread.
 
     Args:
         transport: the transport of the connection.
         clock: the event loop's time.
-        unread_since_seconds: since when bytes may have waited in the socket; None if they have not.
+        unread_since_seconds: the event loop's time, in seconds, since which bytes may have been waiting in
+            the socket; None if there are none.
 
     Attributes:
-        is_write_blocked: whether responses pile up because the client does not read them.
-        discarded_bytes: how many bytes were read and discarded after the last request.
+        is_write_blocked: whether written responses accumulate because the client does not read them.
+        discarded_bytes: number of bytes read and discarded after the last request.
     """
 
     __slots__ = ("_clock", "_transport", "_unread_since_seconds", "discarded_bytes", "is_write_blocked")
@@ -50,7 +51,7 @@
         return self._transport.is_reading_paused
 
     def arrival_time_seconds(self) -> float:
-        """Return when the bytes just read had arrived; the earliest time possible where that is unknown."""
+        """Return the arrival time of the bytes just read; the earliest possible time if it is unknown."""
         now_seconds = self._clock.now_seconds()
         if self._unread_since_seconds is None:
             return now_seconds
@@ -60,15 +61,15 @@
         return arrived_at_seconds
 
     def record_unread_bytes(self) -> None:
-        """Remember that bytes still unread have arrived by now: a read may return less than there is."""
+        """Record that the bytes still unread arrived no later than now: a read may return only a part."""
         if self._unread_since_seconds is None and self._transport.has_unread_bytes():
             self._unread_since_seconds = self._clock.now_seconds()
 
     def update_reading(self, phase: ConnectionPhase, is_pipeline_full: bool) -> None:
-        """Pause or resume reading, as the state of the connection demands.
+        """Pause or resume reading according to the state of the connection.
 
-        Reading goes on after the last request, as only a read shows that the client leaves; but not without
-        limit.
+        Reading continues after the last request, as the event loop detects a disconnect only by a read. The
+        bytes that are discarded in this way are limited.
         """
         if phase is ConnectionPhase.ACCEPTING_REQUESTS:
             must_pause = self.is_write_blocked or is_pipeline_full
--- a/balancer/sidecar/downstream/interfaces.py
+++ b/balancer/sidecar/downstream/interfaces.py
@@ -22,43 +22,43 @@
     """The counters of the sidecar."""
 
     def is_duplicate(self, client_request_id: bytes, /) -> bool:
-        """Return whether a request with this id is in flight, or was perhaps executed already."""
+        """Return whether a request with this id is in flight or may have been executed already."""
 
     def submit(self, response_sink: ResponseSink, request: ClientRequest, waited_seconds: float, /) -> int:
-        """Take a request that arrived this long ago, and return its id.
+        """Accept a request that arrived this many seconds ago, and return the dispatcher's id of it.
 
-        The response may come before this returns.
+        The response may be sent before this method returns.
         """
 
     def on_client_disconnected(self, request_id: int, /) -> None:
-        """Abandon a request whose client has left."""
+        """Abandon a request whose client has disconnected."""
 
 
 class TimeSource(Protocol):
-    """Tells the event loop's time."""
+    """A clock that reads the event loop's time."""
 
     def now_seconds(self) -> float:
         """Return the event loop's time, in seconds."""
 
 
 class ConnectionManager(TimeSource, Protocol):
-    """What a connection needs of the listener that accepted it."""
+    """The part of the listener that its connections use."""
 
     is_draining: bool
-    """Whether a connection ends with the response after which it would be idle."""
+    """Whether each connection is closed after the response that leaves it idle."""
 
     @property
     def dispatcher(self) -> RequestDispatcher:
-        """Return what takes the valid requests."""
+        """Return the dispatcher of valid requests."""
 
     def validate_request(self, head: RequestHead, body: bytes) -> ClientRequest:
-        """Return the request as the dispatcher takes it. Raises HttpRequestError."""
+        """Validate a request, and convert it for the dispatcher. Raises HttpRequestError."""
 
     def readiness_response(self) -> HttpResponse:
         """Return the response to a readiness check."""
 
     def on_connection_opened(self, connection: DownstreamConnection) -> None:
-        """Register a new connection and make room for it."""
+        """Register a new connection, and close one if the limit on connections is exceeded."""
 
     def on_request_accepted(self, connection: DownstreamConnection) -> None:
         """Record that a connection has sent a valid request."""
--- a/balancer/sidecar/downstream/listener.py
+++ b/balancer/sidecar/downstream/listener.py
@@ -22,14 +22,14 @@
 class Listener:
     """Admits clients' connections, up to a limit, and enforces the time limits on each of them.
 
-    A graceful shutdown has three steps, which the caller times: `begin_shutdown`, `begin_draining` and
-    `close_idle_connections`.
+    A graceful shutdown has three steps, which the caller starts in this order: `begin_shutdown`,
+    `begin_draining` and `close_idle_connections`.
 
     Attributes:
         dispatcher: takes the valid requests.
         timeouts: the time limits of the connections.
         now_seconds: returns the event loop's time, in seconds.
-        is_draining: whether connections end with the response after which they would be idle.
+        is_draining: whether each connection is closed after the response that leaves it idle.
     """
 
     def __init__(
@@ -74,15 +74,15 @@
     # ---- requests
 
     def validate_request(self, head: RequestHead, body: bytes) -> ClientRequest:
-        """Return the request as the dispatcher takes it. Raises HttpRequestError."""
+        """Validate a request, and convert it for the dispatcher. Raises HttpRequestError."""
         request = self._validator.validate(head, body)
         if self.dispatcher.is_duplicate(request.client_request_id):
-            # Two copies of one request must not be executed, neither together nor one after the other.
+            # Two copies of one request must not be executed, neither concurrently nor one after the other.
             raise HttpRequestError(HTTPStatus.CONFLICT, "a request with this Req-Id was taken already")
         return request
 
     def readiness_response(self) -> HttpResponse:
-        """Return 200 once an endpoint is known or the wait for an endpoint list is over, else 503."""
+        """Return 200 if an endpoint is known or the wait for the first endpoint list is over, else 503."""
         seconds_since_start = self.now_seconds() - self._started_at_seconds
         if self.dispatcher.has_endpoints or seconds_since_start >= self.timeouts.first_endpoint_list_seconds:
             return HttpResponse(HTTPStatus.OK, [], b"up\n")
@@ -91,7 +91,7 @@
     # ---- events of the connections
 
     def on_connection_opened(self, connection: DownstreamConnection) -> None:
-        """Admit a connection. If there are too many, another one is closed, or else this one."""
+        """Admit a connection. Above the limit another one is closed, or this one if no other can be."""
         self._connections.add(connection)
         self._enforce_connection_limit(connection)
         if not self._sweep_timer.is_running:
@@ -122,7 +122,7 @@
             evicted.close(CloseReason.EVICTED)
 
     def sweep(self) -> None:
-        """Close the connections that have waited for too long, and do so again after the sweep interval."""
+        """Enforce the time limits on all connections, and schedule the next sweep if there are any."""
         now_seconds = self.now_seconds()
         effective = self._effective_timeouts()
         for connection in self._connections.all():
@@ -142,11 +142,11 @@
     # ---- graceful shutdown
 
     def begin_shutdown(self) -> None:
-        """Shorten the time for which connections linger, so that no client delays the shutdown."""
+        """Shorten the time for which connections may linger, so that no client delays the shutdown."""
         self._is_shutting_down = True
 
     def begin_draining(self) -> None:
-        """From now on, close each connection with the response after which it would be idle."""
+        """From now on, close each connection after the response that leaves it idle."""
         self.is_draining = True
 
     def close_idle_connections(self) -> None:
@@ -156,7 +156,7 @@
                 connection.close_unless_unread(CloseReason.DRAINING)
 
     async def wait_until_closed(self) -> None:
-        """Wait until every connection is closed, all responses having been sent."""
+        """Wait until all connections are closed; then no response is pending any more."""
         while len(self._connections):
             self._all_closed.clear()
             await self._all_closed.wait()
--- a/balancer/sidecar/downstream/request_reader.py
+++ b/balancer/sidecar/downstream/request_reader.py
@@ -1,4 +1,4 @@
-"""Divides the bytes of a connection into requests, and records when each of them had arrived."""
+"""Splits the bytes of a connection into requests, and determines when each of them arrived."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 from balancer.sidecar.http.request import END_OF_HEAD, RequestHead, check_partial_head, parse_request_head
 
 ARRIVAL_RESOLUTION_SECONDS = 0.01
-"""Bytes that arrive within this time, in seconds, count as having arrived together.
+"""Bytes that arrive within this time, in seconds, share one arrival time.
 
-A client may send its bytes one by one, and each arrival time takes memory.
+A client may send its bytes one by one, and each stored arrival time takes memory.
 """
 
 
@@ -20,20 +20,23 @@
     head: RequestHead
     body: bytes
     arrived_at_seconds: float
-    """When its last byte had arrived at the latest, by the times passed to `RequestReader.feed`."""
+    """Arrival time of its last byte, by the times passed to `RequestReader.feed`.
+
+    It may be too early by less than ARRIVAL_RESOLUTION_SECONDS.
+    """
 
 
 class _Segment(NamedTuple):
-    """Bytes that arrived together."""
+    """Consecutive bytes that share one arrival time."""
 
     end_position: int
-    """Position of the end of the segment in all bytes that were fed."""
+    """Position of the end of the segment, counted from the first byte that was fed."""
     arrived_at_seconds: float
-    """When the first of its bytes arrived."""
+    """Arrival time of the first of its bytes."""
 
 
 class RequestReader:
-    """Buffers the bytes of a connection that are not part of a complete request yet."""
+    """Buffers the bytes of a connection until they are returned as requests."""
 
     __slots__ = (
         "_buffer",
@@ -48,11 +51,11 @@
     def __init__(self) -> None:
         self._buffer = bytearray()
         self._segments: deque[_Segment] = deque()
-        """The segments of which not every byte has been consumed, oldest first."""
+        """The segments with bytes that have not been consumed, oldest first."""
         self._fed_bytes = 0
         self._consumed_bytes = 0
         self._search_start = 0
-        """Position in the buffer before which the end of the head does not start."""
+        """Position in the buffer from which the end of the head is searched for."""
         self._head: RequestHead | None = None
         """The head of the request whose body is still arriving."""
         self._is_continue_expected = False
@@ -64,7 +67,7 @@
 
     @property
     def has_unparsed_bytes(self) -> bool:
-        """Return whether bytes are buffered in which `next_request` may find a request."""
+        """Return whether bytes are buffered that may hold or complete a request for `next_request`."""
         return bool(self._buffer)
 
     def feed(self, data: bytes, arrived_at_seconds: float) -> None:
@@ -126,7 +129,7 @@
         return head
 
     def _consume(self, size_bytes: int) -> float:
-        """Remove bytes from the front of the buffer, and return when the last of them had arrived."""
+        """Remove bytes from the front of the buffer, and return the arrival time of the last of them."""
         del self._buffer[:size_bytes]
         self._consumed_bytes += size_bytes
         segments = self._segments
--- a/balancer/sidecar/downstream/request_validator.py
+++ b/balancer/sidecar/downstream/request_validator.py
@@ -29,13 +29,13 @@
 """Nanoseconds in a microsecond, the unit of the work hint."""
 
 NO_KEY_HASH = 0
-"""Hash of a request without a key, which no key has."""
+"""Stands for a request without a key; no key has this hash."""
 
 KEY_PARAMETER = b"k="
-"""Start of the query parameter that names what a request is about."""
+"""Prefix of the query parameter that holds the key, which identifies the object of a request."""
 
 KEY_HASH_BYTES = 8
-"""Length of a key's hash in bytes: 64 bits, so that two keys hardly ever share a hash."""
+"""Length of a key's hash in bytes: 64 bits, so that collisions are rare."""
 
 _DECIMAL_SECONDS = re.compile(rb"[0-9]{1,9}(?:\.[0-9]{1,9})?")
 """A number of seconds; float() alone would accept nan, inf, 1e9, 1_0 and more."""
@@ -44,14 +44,14 @@
 """A whole number of microseconds; int() alone would accept 1_0, +1 and more."""
 
 _REQUEST_ID = re.compile(rb"[\x21-\x7e]{1,128}")
-"""A request id: visible ASCII characters, short enough to keep the ids of all recent requests."""
+"""A request id: visible ASCII characters, short enough for the ids of all recent requests to be stored."""
 
 _FORWARDED_NAMES = {name: name.title() for name in FORWARDED_FIELDS}
-"""The names of the forwarded fields as they are sent to endpoints, by lower-case name."""
+"""The names of the forwarded fields in the form that is sent to endpoints, by lower-case name."""
 
 
 class _ClassRule(NamedTuple):
-    """What a request of one request class must look like."""
+    """The requirements on requests of one request class."""
 
     class_index: int
     """Position of the class in the settings."""
@@ -80,7 +80,7 @@
         self._tenant_indices = {tenant.name.encode(): index for index, tenant in enumerate(settings.tenants)}
 
     def validate(self, head: RequestHead, body: bytes) -> ClientRequest:
-        """Return the request as the dispatcher takes it. Raises HttpRequestError."""
+        """Validate a request, and convert it for the dispatcher. Raises HttpRequestError."""
         fields = head.fields
         rule = self._class_rules.get(fields.get(REQUEST_CLASS_FIELD, b""))
         if rule is None:
@@ -112,7 +112,7 @@
 
 
 def _check_method(head: RequestHead, body: bytes, rule: _ClassRule) -> None:
-    """Check the method, and what goes with it, against the class. Raises HttpRequestError."""
+    """Check the method, the body and the idempotency key against the class. Raises HttpRequestError."""
     if head.method != rule.method:
         raise HttpRequestError(HTTPStatus.METHOD_NOT_ALLOWED, "the method does not fit the class")
     if body and rule.method == b"GET":
@@ -124,7 +124,7 @@
 def hash_request_key(target: bytes) -> int:
     """Return a 64-bit hash of the key in a target's query, or NO_KEY_HASH if it has none.
 
-    All sidecars compute the same hash.
+    All sidecars compute the same hash for a key.
     """
     _, _, query = target.partition(b"?")
     for parameter in query.split(b"&"):
@@ -149,7 +149,7 @@
 
 
 def encode_forwarded_head(head: RequestHead, with_idempotency_key: bool) -> bytes:
-    """Return the head to forward, without the deadline and the empty line, which each attempt adds."""
+    """Return the head to forward, without the deadline and the final empty line, which each attempt adds."""
     lines = [b"%s %s HTTP/1.1" % (head.method, head.target)]
     lines += [
         b"%s: %s" % (_FORWARDED_NAMES[name], value)
--- a/balancer/sidecar/downstream/response.py
+++ b/balancer/sidecar/downstream/response.py
@@ -28,7 +28,7 @@
         b"srv-declined",
     )
 )
-"""Names of the headers of an endpoint's response that clients don't get, in lower case."""
+"""Names of the headers of an endpoint's response that are not forwarded to clients, in lower case."""
 
 _STATUS_LINES = {
     int(status): b"HTTP/1.1 %d %s" % (status, status.phrase.encode("ascii")) for status in HTTPStatus
@@ -37,13 +37,13 @@
 
 
 def forwarded_response(response: HttpResponse) -> HttpResponse:
-    """Return an endpoint's successful response without the headers that clients don't get."""
+    """Return an endpoint's successful response without the headers that are not forwarded."""
     headers = [header for header in response.headers if header[0] not in _UNFORWARDED_HEADERS]
     return HttpResponse(HTTPStatus.OK, headers, response.body)
 
 
 def rejected_response(retry_after_ns: int) -> HttpResponse:
-    """Return the response to a rejected request, which was never executed (0: without Retry-After)."""
+    """Return the response to a rejected request, which was not executed; without Retry-After if it is 0."""
     headers: Headers = []
     if retry_after_ns:
         headers.append((b"Retry-After", b"%.3f" % (retry_after_ns / SECOND_NS)))
@@ -57,12 +57,12 @@
 
 
 def request_error_response(error: HttpRequestError) -> HttpResponse:
-    """Return the response to a request that is not valid."""
+    """Return the response to an invalid request."""
     return HttpResponse(error.status, [], error.reason.encode() + b"\n")
 
 
 def encode_response(response: HttpResponse, close: bool) -> bytes:
-    """Encode a response. `close` announces that the connection ends after it (RFC 9112, section 9.6)."""
+    """Encode a response; `close` announces that the connection is closed after it (RFC 9112, section 9.6)."""
     lines = [_STATUS_LINES[response.status]]
     lines += [b"%s: %s" % header for header in response.headers]
     lines.append(b"Content-Length: %d" % len(response.body))
--- a/balancer/sidecar/downstream/timeout_enforcement.py
+++ b/balancer/sidecar/downstream/timeout_enforcement.py
@@ -1,4 +1,4 @@
-"""Ends client connections that have waited for too long, or whose client has left unnoticed."""
+"""Closes clients' connections that exceed a time limit, or whose client has disconnected undetected."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
     """The time limits of one sweep, in seconds."""
 
     timeouts: DownstreamTimeouts
-    """The limits that do not depend on the state of the listener."""
+    """The configured limits, which do not depend on the state of the listener."""
     idle_seconds: float
-    """Limit between two requests, which is shorter while many connections are open."""
+    """Limit between two requests; shorter while more than half of the allowed connections are open."""
     linger_seconds: float
     """Limit for lingering, which is shorter during shutdown."""
 
@@ -25,11 +25,11 @@
 def enforce_timeouts(
     connection: DownstreamConnection, effective: EffectiveTimeouts, now_seconds: float
 ) -> None:
-    """End a connection if it has waited for too long, or if its client has left unnoticed by an event.
+    """Close a connection if it has exceeded a limit, or if its client has disconnected without an event.
 
     Args:
         connection: the connection.
-        effective: the limits that hold at present.
+        effective: the limits of the current sweep.
         now_seconds: the event loop's time.
     """
     if not connection.is_connected:
@@ -52,7 +52,7 @@
 
 
 def _is_disconnect_undetected(connection: DownstreamConnection) -> bool:
-    """Return whether the client has left while reading is paused, when no event reports it."""
+    """Return whether the client has disconnected while reading is paused, when no event reports it."""
     return connection.flow_control.is_reading_paused and connection.is_open and connection.is_disconnected()
 
 
--- a/balancer/sidecar/http/buffer_budget.py
+++ b/balancer/sidecar/http/buffer_budget.py
@@ -10,9 +10,9 @@
     """Counts the buffered bytes of all responses in flight that share it."""
 
     max_bytes: int
-    """The limit."""
+    """Limit on the bytes that are reserved at once."""
     used_bytes: int = 0
-    """The bytes that are reserved at present."""
+    """Number of bytes that are reserved now."""
 
     def reserve(self, size_bytes: int) -> bool:
         """Reserve bytes to be buffered. Returns False, and reserves none, if they do not fit."""
--- a/balancer/sidecar/http/message.py
+++ b/balancer/sidecar/http/message.py
@@ -1,20 +1,21 @@
-"""HTTP/1.1 messages as both sides of the sidecar see them, and the limits of their parts."""
+"""HTTP/1.1 messages on both sides of the sidecar, downstream and upstream, and the limits on their parts."""
 
 from __future__ import annotations
 
 from typing import NamedTuple, TypeAlias
 
 MAX_HEAD_BYTES = 32 * 1024
-"""Limit in bytes on the head of a request or response, so that no peer can fill the memory."""
+"""Limit in bytes on the head of a request or response, so that no peer can exhaust the memory."""
 
 MAX_REQUEST_BODY_BYTES = 64 * 1024
-"""Limit in bytes on the body of a request, the length that the protocol allows for bodies."""
+"""Limit in bytes on the body of a request: the maximum that the protocol allows for bodies."""
 
 MAX_RESPONSE_BODY_BYTES = 1024 * 1024
 """Limit in bytes on the body of a response.
 
-The protocol allows 64 KiB, but account servers at times send several times as much, and a response that
-clients can use is forwarded. What all responses in flight may buffer together is limited by the memory limit.
+The protocol allows 64 KiB, but account servers sometimes send several times as much, and such responses are
+forwarded because clients can use them. The memory limit bounds the bytes that all responses in flight buffer
+together.
 """
 
 Headers: TypeAlias = list[tuple[bytes, bytes]]
--- a/balancer/sidecar/http/outbound_connection.py
+++ b/balancer/sidecar/http/outbound_connection.py
@@ -16,16 +16,16 @@
 from balancer.sidecar.runtime.sockets import shut_down_socket
 
 ResponseCallback: TypeAlias = Callable[[HttpResponse | None], None]
-"""Gets the response, or None if the connection was lost or the response is unusable."""
+"""Receives the response, or None if the connection was lost or the response is unusable."""
 
 
 class OutboundConnection(asyncio.Protocol):
     """Carries one request at a time, and never retries a request by itself.
 
     Args:
-        on_lost: called once the connection is lost, at least one turn of the event loop after `close`.
+        on_lost: called when the connection is lost, at least one iteration of the event loop after `close`.
         budget: limits the bytes that the bodies of responses in flight may buffer; by default the connection
-            has a budget of its own, of the largest response.
+            has a budget of its own, with the size of the largest response.
     """
 
     def __init__(
@@ -36,23 +36,23 @@
         self._on_lost = on_lost
         self._parser = ResponseParser(budget or BufferBudget(MAX_RESPONSE_BODY_BYTES))
         self._on_response: ResponseCallback | None = None
-        """Set while a request is in flight."""
+        """The callback of the request in flight, or None."""
         self._file_descriptor = -1
         self._poll = select.poll()
         self.transport: asyncio.Transport | None = None
-        """Set from when the connection is established until it is lost."""
+        """The transport, from when the connection is established until it is lost."""
         self.is_established = False
         """Whether the connection was established; stays true after it is lost."""
         self.max_body_bytes = MAX_RESPONSE_BODY_BYTES
         """Limit in bytes on the body of the response to the next request."""
         self.address: Address | None = None
-        """The address that its owner connected it to."""
+        """The address of the peer, which the owner of the connection sets."""
         self.idle_since_ns = 0
-        """When its owner last returned it to a pool, by the owner's clock."""
+        """When the owner last returned the connection to a pool, by the owner's clock."""
 
     @property
     def buffer_budget(self) -> BufferBudget:
-        """Return the budget that the bodies of its responses count against."""
+        """Return the budget for the bodies of this connection's responses."""
         return self._parser.budget
 
     @property
@@ -62,24 +62,28 @@
 
     @property
     def has_unsent_bytes(self) -> bool:
-        """Return whether a part of the request is unsent. If closed now, the request is never executed."""
+        """Return whether a part of the request is unsent.
+
+        If the connection is closed while it is, the request is never executed.
+        """
         return self.transport is not None and self.transport.get_write_buffer_size() > 0
 
     def is_reusable(self) -> bool:
         """Return whether the connection is open and the peer has sent nothing since the last response.
 
-        The socket is polled, as the end of the peer's side may still be unread in the kernel. A request
-        written after it would be answered with a reset, and might count as executed.
+        The socket is polled, because the peer may have closed its side without the event loop having read
+        that from the kernel yet. A request written after the close would be answered with a reset, and would
+        have to be treated as possibly executed.
         """
         transport = self.transport
         return transport is not None and not transport.is_closing() and not self._poll.poll(0)
 
     def send(self, data: bytes, on_response: ResponseCallback) -> bool:
-        """Write a request. `on_response` is called once, unless the connection is closed before.
+        """Write a request. `on_response` is called once, unless `close` is called before.
 
         Returns False if the last byte of the request was certainly not sent; then `on_response` is not
-        called. The request is written to the socket itself, as the transport does not report how many bytes
-        the kernel accepted.
+        called. The request is written to the socket directly, because the transport does not report how many
+        bytes the kernel accepted.
         """
         transport = self.transport
         if transport is None or transport.is_closing():
@@ -94,7 +98,8 @@
             return False
         self._on_response = on_response
         if written_bytes < len(data):
-            transport.write(data[written_bytes:])  # from now on, all of it may be sent before a loss
+            # From now on the request may have been sent completely when the connection is lost.
+            transport.write(data[written_bytes:])
         return True
 
     def close(self) -> None:
@@ -107,7 +112,7 @@
     # ---- callbacks of the event loop
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Store the transport of the connection, which is established."""
+        """Store the transport of the established connection."""
         # uvloop's transports are not subclasses of asyncio's, so their type can't be checked.
         self.transport = cast(asyncio.Transport, transport)
         self.is_established = True
@@ -117,7 +122,7 @@
     def data_received(self, data: bytes) -> None:
         """Parse a part of the response."""
         if self._on_response is None:
-            self.close()  # a response to no request
+            self.close()  # no request is in flight, so the bytes belong to no response
             return
         try:
             response = self._parser.feed(data)
@@ -128,9 +133,10 @@
             self._complete_request(response, keep_open=self._parser.keeps_alive)
 
     def eof_received(self) -> None:
-        """Handle the end of the peer's side, after which the transport closes.
+        """Handle the close of the peer's side, after which the transport closes.
 
-        It may complete a response. A reset is not reported here, but one may have followed at once.
+        The close may complete a response. A reset is not reported here, but may have followed immediately, so
+        the socket is checked for an error.
         """
         response = self._parser.response_at_end_of_connection()
         if response is not None and not self._has_socket_error():
@@ -147,7 +153,7 @@
         return any(events & select.POLLERR for _, events in self._poll.poll(0))
 
     def _complete_request(self, response: HttpResponse | None, *, keep_open: bool) -> None:
-        """Report the response, or its absence, to the request in flight if there is one."""
+        """Report the response, or None if there is none, to the request in flight if there is one."""
         on_response = self._on_response
         self._on_response = None
         self._parser.release_buffer()
@@ -161,7 +167,7 @@
         if transport is None:
             return
         if was_in_flight and not transport.is_closing():
-            # The event loop closes the socket in its next turn only. A retry may be written before, and two
-            # copies of the request would be in flight.
+            # The event loop closes the socket only in its next iteration. A retry may be written before that,
+            # and two copies of the request would be in flight.
             shut_down_socket(self._file_descriptor, socket.SHUT_RDWR)
         transport.abort()
--- a/balancer/sidecar/http/request.py
+++ b/balancer/sidecar/http/request.py
@@ -1,8 +1,8 @@
 """The head of a client's HTTP/1.1 request: a strict grammar and its parser (RFC 9110, RFC 9112).
 
-A request that two parsers could read in two ways is rejected (RFC 9112, section 11.2, on request smuggling),
-and only the header fields that the sidecar knows are kept: an endpoint must not find another request in the
-bytes than the sidecar did.
+A request that two parsers could interpret differently is rejected (RFC 9112, section 11.2, on request
+smuggling), and only the header fields that the sidecar knows are kept: the endpoint must parse the same
+request from the bytes as the sidecar.
 """
 
 from __future__ import annotations
@@ -26,13 +26,13 @@
 TENANT_FIELD = b"req-owner"
 """The tenant, by its name in the settings."""
 DEADLINE_FIELD = b"req-deadline"
-"""The time that the client waits for the response, in decimal seconds."""
+"""How long the client waits for the response, in decimal seconds."""
 RETRY_FIELD = b"req-retry"
-"""`1` if the client sends the request again."""
+"""`1` if the client retries the request."""
 WORK_HINT_FIELD = b"req-cost"
 """The client's estimate of the work, in microseconds."""
 IDEMPOTENCY_KEY_FIELD = b"idempotency-key"
-"""The key by which endpoints recognise a request that is sent again."""
+"""The key by which endpoints recognise a retry of a request."""
 
 FORWARDED_FIELDS = (
     b"host",
@@ -54,7 +54,7 @@
     b"transfer-encoding",
     b"upgrade",
 }
-"""The fields that are kept. Each of them may appear once; all others are dropped."""
+"""The fields that are kept. Each of them may appear once at most; all other fields are dropped."""
 
 _TOKEN = rb"[!#$%&'*+\-.^_`|~0-9A-Za-z]++"
 """token (RFC 9110, section 5.6.2)."""
@@ -71,13 +71,13 @@
 """
 
 _REQUEST_START = re.compile(rb"\r?+\n?+(?:" + _TOKEN + rb"|\Z)")
-"""What the first bytes of an incomplete request may be: the optional empty line, then a method."""
+"""The first bytes of an incomplete request: the optional empty line, then a method."""
 
 _ORIGIN_FORM = re.compile(rb"/[^#]*+")
 """request-target in origin-form (RFC 9112, section 3.2.1): a path and perhaps a query, no fragment."""
 
 _CONTENT_LENGTH = re.compile(rb"[0-9]{1,18}")
-"""Content-Length (RFC 9110, section 8.6): digits only, few enough for int() to take no time."""
+"""Content-Length (RFC 9110, section 8.6): digits only, so few that int() converts them quickly."""
 
 
 class HttpRequestError(ProtocolError):
@@ -120,7 +120,7 @@
 
 
 def check_partial_head(partial: bytes | bytearray) -> None:
-    """Check that further bytes may complete this beginning to a valid head. Raises HttpRequestError."""
+    """Check that an incomplete head can still become a valid one. Raises HttpRequestError."""
     if len(partial) > MAX_HEAD_BYTES:
         has_request_line = b"\n" in partial
         raise HttpRequestError(
--- a/balancer/sidecar/http/response_parser.py
+++ b/balancer/sidecar/http/response_parser.py
@@ -1,7 +1,7 @@
 """Parses the responses of account servers, and enforces the limits on them.
 
-The head, the body and the bytes on the wire of a response are limited. All responses in flight together are
-limited by a `BufferBudget`.
+There are limits on the head, the body and the bytes on the wire of each response. A `BufferBudget` limits the
+bytes that the bodies of all responses in flight buffer together.
 """
 
 from __future__ import annotations
@@ -15,16 +15,16 @@
 from balancer.sidecar.http.message import MAX_HEAD_BYTES, MAX_RESPONSE_BODY_BYTES, Headers, HttpResponse
 
 FIRST_FINAL_STATUS = 200
-"""The lowest status of a final response; after one with a lower status another follows (RFC 9110, 15.2)."""
+"""The lowest status of a final response; lower ones are interim responses (RFC 9110, section 15.2)."""
 
 STATUSES_WITHOUT_BODY = frozenset((HTTPStatus.NO_CONTENT, HTTPStatus.NOT_MODIFIED))
 """Statuses of responses that have no body, whatever their headers state (RFC 9112, section 6.3)."""
 
 MAX_WIRE_BYTES_PER_BODY_BYTE = 2
-"""Limit on the bytes on the wire for each byte of a body: chunked encoding adds to them."""
+"""Limit on the bytes on the wire for each byte of the body limit: chunked encoding adds bytes to a body."""
 
 FRAMING_HEADERS = frozenset((b"content-length", b"transfer-encoding"))
-"""Headers that state how a body ends."""
+"""Headers that determine where a body ends."""
 
 
 class ResponseError(ProtocolError):
@@ -35,7 +35,7 @@
     """The bytes are not an HTTP/1.1 response.
 
     Attributes:
-        reason: what the parser found.
+        reason: the parser's description of the error.
     """
 
     def __init__(self, reason: str) -> None:
@@ -44,14 +44,14 @@
 
 
 class AmbiguousLengthError(ResponseError):
-    """The head states the length of the body more than once.
+    """The head has more than one header that determines the length of the body.
 
     Attributes:
-        statements: the values of the headers.
+        header_values: the values of these headers.
     """
 
     def __init__(self, header_values: tuple[bytes, ...]) -> None:
-        super().__init__(f"response states its length {len(header_values)} times")
+        super().__init__(f"response has {len(header_values)} headers for the body length, expected one")
         self.header_values = header_values
 
 
@@ -59,8 +59,8 @@
     """The head, the body or the entire response exceeds its limit.
 
     Attributes:
-        size_bytes: the size.
-        max_bytes: its limit.
+        size_bytes: the size of the part, as stated or as received so far.
+        max_bytes: the limit.
     """
 
     def __init__(self, size_bytes: int, max_bytes: int) -> None:
@@ -70,17 +70,17 @@
 
 
 class BufferBudgetExceededError(ResponseError):
-    """The buffer budget of all responses in flight has no capacity for more of this one.
+    """The buffer budget of all responses in flight has no capacity for further bytes of this one.
 
     Attributes:
-        size_bytes: the bytes that do not fit.
-        used_bytes: the bytes in use at the time.
+        size_bytes: the number of bytes that do not fit.
+        used_bytes: the number of bytes in use at the time.
         max_bytes: the limit of the budget.
     """
 
     def __init__(self, size_bytes: int, budget: BufferBudget) -> None:
         super().__init__(
-            f"no buffer for {size_bytes} bytes: {budget.used_bytes} of {budget.max_bytes} bytes are in use"
+            f"no buffer capacity for {size_bytes} bytes: {budget.used_bytes} of {budget.max_bytes} are in use"
         )
         self.size_bytes = size_bytes
         self.used_bytes = budget.used_bytes
@@ -88,17 +88,16 @@
 
 
 class ResponseParser:
-    """Parses one response at a time; a connection owns one and calls `begin_response` for each request.
+    """Parses one response at a time; a connection has one parser, and begins a response for each request.
 
     The methods `on_...` are the callbacks of httptools. An error raised in one of them ends the parsing.
 
     Args:
-        budget: the budget that buffered bodies count against.
+        budget: the budget for the buffered bodies.
 
     Attributes:
-        received_bytes: how many bytes of the response have been received.
-        keeps_connection: whether the connection may carry a further request; valid once the response is
-            complete.
+        received_bytes: number of bytes of the response that have been received.
+        keeps_alive: whether the connection may carry a further request; valid once the response is complete.
     """
 
     def __init__(self, budget: BufferBudget) -> None:
@@ -107,7 +106,7 @@
         self.begin_response(MAX_RESPONSE_BODY_BYTES)
 
     def begin_response(self, max_body_bytes: int) -> None:
-        """Discard the last response, and expect the next one with a body of at most this length."""
+        """Discard the last response, and expect the next one, with a body of at most this many bytes."""
         self._http_parser = httptools.HttpResponseParser(self)
         self._max_body_bytes = max_body_bytes
         self._response: HttpResponse | None = None
@@ -117,25 +116,25 @@
         self._max_received_bytes = MAX_HEAD_BYTES
         """Limit on `received_bytes`; it grows once the head is complete."""
         self._header_bytes = 0
-        """Bytes of the headers of the current head, then of the trailers."""
+        """Size of the headers of the current head, then of the trailers."""
         self._body_bytes = 0
         self._is_close_delimited = False
         self.received_bytes = 0
         self.keeps_alive = False
 
     def release_buffer(self) -> None:
-        """Return the bytes of the body to the budget."""
+        """Release the bytes of the body that are reserved in the budget."""
         self.budget.release(self._reserved_bytes)
         self._reserved_bytes = 0
 
     def feed(self, data: bytes) -> HttpResponse | None:
         """Parse bytes that have been received. Returns the response once it is complete.
 
-        Bytes after a complete response make the connection unfit for a further request, but the response
+        Bytes after a complete response make the connection unusable for a further request, but the response
         stays valid. Raises ResponseError.
         """
-        # httptools buffers an incomplete header and skips chunk extensions without any callback, so the raw
-        # bytes are limited as well.
+        # httptools calls no callback for an incomplete header, which it buffers, or for chunk extensions,
+        # which it skips. So the raw bytes are limited as well.
         self.received_bytes += len(data)
         error: ResponseError | None = None
         try:
@@ -151,7 +150,7 @@
         return self._response
 
     def response_at_end_of_connection(self) -> HttpResponse | None:
-        """Return the response that the end of the connection completes, or None if it completes none."""
+        """Return the response that the peer's close completes, or None if it completes none."""
         if not self._is_close_delimited:
             return None
         return self._build_response()
@@ -162,21 +161,21 @@
     # ---- callbacks of httptools
 
     def on_message_begin(self) -> None:
-        """Handle the start of a response; one after the complete response makes the connection unfit."""
+        """Handle the start of a response; a second one makes the connection unusable for further requests."""
         if self._response is not None:
             self.keeps_alive = False
 
     def on_header(self, name: bytes, value: bytes) -> None:
         """Store a header of the head or a trailer of a chunked body."""
         if self._response is not None:
-            return  # a header of a response that follows
+            return  # a header of a second response
         self._header_bytes += len(name) + len(value)
         if self._header_bytes > MAX_HEAD_BYTES:
             raise ResponseTooLargeError(self._header_bytes, MAX_HEAD_BYTES)
         self._headers.append((name.lower(), value))
 
     def on_headers_complete(self) -> None:
-        """Determine how the body ends, and refuse a response whose head states an unusable length."""
+        """Determine how the body ends. Raises ResponseError if its length is ambiguous or too large."""
         if self._response is not None:
             return
         self._status = self._http_parser.get_status_code()
@@ -197,9 +196,9 @@
             raise ResponseTooLargeError(int(lengths[0]), self._max_body_bytes)
 
     def _begin_body_without_length(self) -> None:
-        """Expect a body that the end of the connection ends (RFC 9112, section 6.3).
+        """Expect a body that the close of the connection ends (RFC 9112, section 6.3).
 
-        An unsuccessful response is complete with its head: the end of the connection may never come.
+        An unsuccessful response is complete with its head, because the peer may never close the connection.
         """
         if self._status == HTTPStatus.OK:
             self._is_close_delimited = True
@@ -209,7 +208,7 @@
     def on_body(self, body: bytes) -> None:
         """Buffer a part of the body."""
         if self._response is not None:
-            return  # the body of a response that follows, or of one that is complete with its head
+            return  # the body of a second response, or of one that is complete with its head
         size_bytes = len(body)
         self._body_bytes += size_bytes
         if self._body_bytes > self._max_body_bytes:
@@ -220,19 +219,19 @@
         self._body_chunks.append(body)
 
     def on_message_complete(self) -> None:
-        """Complete the response, unless the message is an interim response or one that follows."""
+        """Complete the response, unless the message is an interim response or a second one."""
         if self._response is not None:
             return
         if self._status < FIRST_FINAL_STATUS:
             self._headers = []
         else:
             self._response = self._build_response()
-            # After this callback, httptools has dropped the length and always returns False.
+            # After this callback, httptools has discarded the length and always returns False.
             self.keeps_alive = self._http_parser.should_keep_alive()
 
 
 def _response_error(error: Exception) -> ResponseError:
-    """Return the error that a callback raised, or one that says why httptools refused the response."""
+    """Return the error that a callback raised, or else one with the error of httptools."""
     callback_error = error.__context__
     if isinstance(callback_error, ResponseError):
         return callback_error
