--- a/balancer/sidecar/http/__init__.py
+++ b/balancer/sidecar/http/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP/1.1: messages, the grammar of requests and responses, and outbound connections."""
+"""HTTP/1.1: messages, parsers of requests and responses, and outbound connections."""
--- a/tests/sidecar/downstream/__init__.py
+++ b/tests/sidecar/downstream/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the sidecar's side of the clients."""
+"""Tests of `balancer.sidecar.downstream`."""
--- a/tests/sidecar/downstream/harness.py
+++ b/tests/sidecar/downstream/harness.py
@@ -1,4 +1,4 @@
-"""The harness of the tests of the downstream side: clients on plain sockets, and sweeps on demand."""
+"""The harness for tests of the downstream side: clients on plain sockets, and sweeps on demand."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 READINESS_REQUEST = b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n"
 MALFORMED_REQUEST = b"nonsense\r\n\r\n"
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)
-"""Value of SO_LINGER with which a socket's close resets the connection."""
+"""Value of SO_LINGER with which closing a socket resets its connection."""
 
 CloseAction: TypeAlias = Callable[[Sidecar], None]
 """A way to make a sidecar close an idle connection."""
@@ -33,7 +33,7 @@
 
 
 def set_time(sidecar: Sidecar, now_seconds: float) -> None:
-    """Stop the clock of the client's side at this time."""
+    """Set the listener's clock to this time and stop it there."""
     sidecar.listener.now_seconds = lambda: now_seconds
 
 
@@ -44,17 +44,17 @@
 
 
 def sweep_after(sidecar: Sidecar, seconds: float) -> None:
-    """Enforce the time limits as if so much time had passed."""
+    """Enforce the time limits as if this much time had passed."""
     sweep_at(sidecar, sidecar.listener.now_seconds() + seconds)
 
 
 def close_by_idle_timeout(sidecar: Sidecar) -> None:
-    """Close a connection on which no further request comes."""
+    """Close a connection on which no further request arrives."""
     sweep_after(sidecar, TIMEOUTS.idle_seconds + 1)
 
 
 def close_by_first_byte_timeout(sidecar: Sidecar) -> None:
-    """Close a connection on which no request came."""
+    """Close a connection on which no request has arrived."""
     sweep_after(sidecar, TIMEOUTS.first_byte_seconds + 1)
 
 
@@ -66,13 +66,13 @@
 
 @contextlib.contextmanager
 def connect_socket(sidecar: Sidecar) -> Iterator[socket]:
-    """Connect a client whose bytes have reached the sidecar's socket before the event loop turns."""
+    """Connect a client whose bytes reach the sidecar's socket before the event loop's next iteration."""
     with create_connection(("127.0.0.1", sidecar.port)) as client:
         yield client
 
 
 def reset_on_close(client: socket) -> None:
-    """Let the close of a client's socket reset its connection."""
+    """Make the close of a client's socket reset the connection."""
     client.setsockopt(SOL_SOCKET, SO_LINGER, RESET_ON_CLOSE)
 
 
@@ -88,7 +88,7 @@
 
 
 async def receive_all(client: socket) -> bytes:
-    """Return the bytes that arrive until the sidecar closes its side. Raises ConnectionResetError."""
+    """Return all bytes that arrive until the sidecar closes its side. Raises ConnectionResetError."""
     client.setblocking(False)
     loop = asyncio.get_running_loop()
     received = bytearray()
@@ -98,12 +98,12 @@
 
 
 def is_complete_response(received: bytes, status: bytes, body: bytes) -> bool:
-    """Return whether these bytes begin and end as the response with this status and body."""
+    """Return whether these bytes start with this status and end with this body."""
     return received.startswith(b"HTTP/1.1 " + status) and received.endswith(b"\r\n\r\n" + body)
 
 
 async def check_rejection(raw: bytes, expected_status: int) -> None:
-    """Check that a request is rejected, its connection closed and nothing else affected."""
+    """Check that a request is rejected and its connection closed, and that other clients are served."""
     async with run_endpoint(answer_ok) as endpoint, run_sidecar(endpoint.address) as sidecar:
         client, other_client = await sidecar.connect_client(), await sidecar.connect_client()
         status, headers, _ = await client.exchange(raw)
@@ -114,7 +114,7 @@
 
 
 class ClientSession:
-    """A client's connection from both ends, with the endpoint that serves it."""
+    """Both ends of a client's connection, and the endpoint that serves it."""
 
     def __init__(self, sidecar: Sidecar, endpoint: ScriptedEndpoint, sockets: contextlib.ExitStack) -> None:
         self.sidecar = sidecar
@@ -127,11 +127,11 @@
         self.connection = await accepted_connection(self.sidecar)
 
     def connect_further_client(self) -> None:
-        """Connect another client, which stays until `disconnect`."""
+        """Connect another client, which stays connected until `disconnect`."""
         self._sockets.enter_context(connect_socket(self.sidecar))
 
     async def complete_request(self) -> None:
-        """Have a first request answered, after which the connection is idle."""
+        """Send a first request, and wait until the connection is idle after its response."""
         self.client.sendall(request_bytes())
         await wait_until(lambda: self.endpoint.received_requests and self.connection.is_idle)
 
@@ -151,7 +151,7 @@
 
 @contextlib.asynccontextmanager
 async def run_client_session(script: Script = answer_ok, **changes: Any) -> AsyncIterator[ClientSession]:
-    """Connect one client to a sidecar without sweeps that has one endpoint."""
+    """Connect one client to a sidecar with one endpoint and without sweeps."""
     async with (
         run_endpoint(script) as endpoint,
         run_sidecar_without_sweeps(endpoint.address, **changes) as sidecar,
--- a/tests/sidecar/downstream/test_acceptor.py
+++ b/tests/sidecar/downstream/test_acceptor.py
@@ -1,4 +1,4 @@
-"""The listening socket: connections are accepted in spite of accept(2) failing as Linux documents."""
+"""Tests of the listening socket: connections are accepted after accept(2) has failed as Linux documents."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 
 
 class FailingSocket:
-    """A listening socket whose next calls of `accept` fail with these errors, one each."""
+    """A listening socket whose first calls of `accept` fail, each with one of these errors."""
 
     def __init__(self, listening: socket.socket, *errors: int) -> None:
         self._listening = listening
         self._errors = list(errors)
 
     def accept(self) -> Any:
-        """Fail as long as there are errors, then accept."""
+        """Raise the next error if one is left, and accept otherwise."""
         if self._errors:
             number = self._errors.pop(0)
             raise OSError(number, errno.errorcode[number])
@@ -34,18 +34,18 @@
 
 
 class GreetingProtocol(asyncio.Protocol):
-    """Says that it has been attached to a connection."""
+    """Sends a greeting, which shows that the protocol has been attached to a connection."""
 
     def __init__(self, unread_since_seconds: float | None) -> None:
         self.unread_since_seconds = unread_since_seconds
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Greet the client."""
+        """Send the greeting to the client."""
         cast(asyncio.Transport, transport).write(b"hello")
 
 
 async def receive_greeting(address: tuple[str, int]) -> bytes:
-    """Connect, and return the first bytes that come."""
+    """Connect, and return the greeting."""
     reader, writer = await asyncio.open_connection(*address)
     try:
         return await reader.readexactly(5)
--- a/tests/sidecar/downstream/test_client_disconnect.py
+++ b/tests/sidecar/downstream/test_client_disconnect.py
@@ -1,4 +1,4 @@
-"""Clients that disconnect: no attempt is started for them any more, whether or not an event reports it."""
+"""Tests of clients that disconnect: no further attempt starts for them, even if no event reports it."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 
 
 class ConnectionState(Enum):
-    """What a client has sent when it disconnects; in none of these an event reports it in time."""
+    """What a client has sent when it disconnects. In none of these states an event reports it in time."""
 
     ONE_REQUEST = "one request"
     LAST_REQUEST = "last request"
@@ -61,12 +61,12 @@
 
 
 def disconnected_count(sidecar: Sidecar) -> int:
-    """Return for how many requests the policy got the event that their client has left."""
+    """Return the number of requests for which the policy got the event `ClientDisconnected`."""
     return sum(isinstance(event, ClientDisconnected) for event in sidecar.events)
 
 
 def only_connection(sidecar: Sidecar) -> DownstreamConnection:
-    """Return the one connection of a client."""
+    """Return the only connection of a client to the sidecar."""
     [connection] = sidecar.listener.accepting_connections
     return connection
 
@@ -74,7 +74,7 @@
 async def send_requests(
     sidecar: Sidecar, client: socket, state: ConnectionState, attempt_count: Callable[[], int]
 ) -> int:
-    """Bring the connection into a state, with the attempts in flight, and return the number of requests."""
+    """Bring a connection with attempts in flight into a state, and return the number of its requests."""
     if state is ConnectionState.READING_PAUSED_BY_PIPELINE:
         client.sendall(b"".join(request_bytes() for _ in range(MAX_PIPELINED_REQUESTS + 3)))
         await wait_until(
@@ -97,7 +97,7 @@
 async def run_sidecar_with_two_endpoints(
     script: Script,
 ) -> AsyncIterator[tuple[Sidecar, Callable[[], int]]]:
-    """Run a sidecar with two endpoints, and return it with what counts the requests that both received."""
+    """Run a sidecar with two endpoints; yields it and a function that counts the requests of both."""
     async with (
         run_endpoint(script) as first,
         run_endpoint(script) as second,
@@ -124,7 +124,8 @@
             connected_count += 1
             await connections_released.wait()
             disconnect(client, how)
-            return connection  # the attempt would be sent in this turn of the event loop
+            # Without a check before sending, the attempt would be sent in this iteration of the event loop.
+            return connection
 
         with connect_socket(sidecar) as client:
             upstream.connect = connect_and_disconnect_client
@@ -160,7 +161,7 @@
             handle = sidecar.balancer.handle
 
             def disconnect_and_handle(now_ns: int, event: Event) -> list[Action]:
-                # The client disconnects before the decision on a retry.
+                # The client disconnects before the policy decides on a retry.
                 if isinstance(event, AttemptCompleted):
                     disconnect(client, how)
                 return handle(now_ns, event)
@@ -168,7 +169,8 @@
             monkeypatch.setattr(sidecar.balancer, "handle", disconnect_and_handle)
             responses_released.set()
             await wait_until(lambda: not sidecar.dispatcher.ledger.in_flight)
-            # Not all of a full pipeline: some of its requests are rejected, as the retry budget is small.
+            # This count may be lower than `request_count`: the retry budget is small, so some requests of a
+            # full pipeline are rejected.
             assert disconnected_count(sidecar)
             assert attempt_count() == request_count
 
@@ -179,7 +181,10 @@
 async def test_request_is_not_retried_after_disconnect_with_unread_responses(
     extra: bytes, how: Disconnect
 ) -> None:
-    """A connection that ends with its last response must not wait for responses that are never read."""
+    """Responses that the client never reads must not delay the detection of its disconnect.
+
+    They block writing, also on a connection that is closed after its last response.
+    """
     response_released = asyncio.Event()
     posts: list[ReceivedRequest] = []
 
--- a/tests/sidecar/downstream/test_connection.py
+++ b/tests/sidecar/downstream/test_connection.py
@@ -1,4 +1,4 @@
-"""The graceful close of a client's connection, and how it lingers."""
+"""Tests of the graceful close of a client's connection, and of lingering."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 
 class ExpectedResponse(NamedTuple):
-    """The last response on a connection."""
+    """The status and body of the last response on a connection."""
 
     status: bytes
     body: bytes
@@ -49,7 +49,7 @@
 REQUEST_TIMEOUT = ExpectedResponse(b"408", b"Request Timeout\n")
 
 SessionCloseAction: TypeAlias = Callable[[ClientSession], Awaitable[ExpectedResponse]]
-"""A way to make a sidecar close the connection of a session, and the last response that is due."""
+"""A way to make a sidecar close the connection of a session; it returns the last response that is due."""
 
 
 async def close_by_malformed_request(session: ClientSession) -> ExpectedResponse:
@@ -107,7 +107,7 @@
 async def test_bytes_after_close_neither_reset_connection_nor_are_forwarded(
     close: SessionCloseAction, late_bytes: bytes
 ) -> None:
-    """A close over unread bytes resets the connection (RFC 9112, section 9.6)."""
+    """Closing a connection while bytes are unread resets it (RFC 9112, section 9.6)."""
     async with run_client_session(limits={"sockets": 3}) as session:
         assert session.sidecar.config.max_downstream_connections == 1
         connection = session.connection
@@ -126,7 +126,7 @@
 
 @async_test
 async def test_long_last_response_is_complete_though_client_sends_more() -> None:
-    """A reset would discard what the client has not read of it yet."""
+    """A reset would discard the part of the response that the client has not read yet."""
     body = b"x" * 1_000_000
 
     async def respond_with_large_body(_request: ReceivedRequest) -> bytes:
@@ -142,8 +142,8 @@
 
 
 def close_by_eviction(sidecar: Sidecar) -> None:
-    """Close an idle connection for newcomers."""
-    set_time(sidecar, 0.0)  # so no newcomer has waited yet
+    """Close an idle connection for new ones."""
+    set_time(sidecar, 0.0)  # so no new connection has waited yet
     for _ in range(2):
         sidecar.listener.on_connection_opened(DownstreamConnection(sidecar.listener))
 
@@ -161,7 +161,7 @@
 async def test_request_that_arrived_unread_before_close_is_answered(
     close: CloseAction, earlier_requests: int
 ) -> None:
-    """The event loop does not turn between the arrival of the request and the close."""
+    """The request arrives and the connection is closed in the same iteration of the event loop."""
     async with run_client_session(limits={"sockets": 6}) as session:
         assert session.sidecar.config.max_downstream_connections == 2
         if earlier_requests:
@@ -205,7 +205,7 @@
             closed_at_seconds = sidecar.listener.now_seconds()
             sweep_at(sidecar, closed_at_seconds + 0.9 * timeout_seconds)
             assert connection.is_open
-            client.sendall(b"x")  # bytes that it sends do not prolong the time
+            client.sendall(b"x")  # bytes from the client do not extend the timeout
             await wait_until(lambda: connection.flow_control.discarded_bytes)
             sweep_at(sidecar, closed_at_seconds + 1.1 * timeout_seconds)
             await wait_until(lambda: not len(sidecar.listener))
@@ -232,5 +232,5 @@
         with pytest.raises(ConnectionError):
             await flood
         assert not len(session.sidecar.listener)
-    # A longer limit holds for clients that do not read, so it was the linger timeout.
+    # The limit for clients that do not read is longer, so the linger timeout closed the connection.
     assert TIMEOUTS.unread_response_seconds > TIMEOUTS.linger_seconds
--- a/tests/sidecar/downstream/test_connection_timeouts.py
+++ b/tests/sidecar/downstream/test_connection_timeouts.py
@@ -1,4 +1,4 @@
-"""The time limits of a client's connection that is silent, slow to send, or does not read."""
+"""Tests of the time limits for clients that send no request, send one incompletely or do not read."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
             assert (await client.read_response())[0] == 408
             assert await client.is_closed()
         assert await client_without_request.is_closed()
-        # This one has been idle for longer than the silent one.
+        # This connection has waited for longer than the one without a request, but its limit is longer.
         assert (await idle.exchange(request_bytes()))[0] == 200
 
 
--- a/tests/sidecar/downstream/test_listener.py
+++ b/tests/sidecar/downstream/test_listener.py
@@ -1,4 +1,4 @@
-"""The listener: admission and eviction at the limit of connections, readiness, duplicate requests."""
+"""Tests of the listener: admission and eviction at the connection limit, readiness, duplicate requests."""
 
 from __future__ import annotations
 
@@ -27,9 +27,9 @@
 
 LIMITS = {"sockets": 19}
 MAX_CONNECTIONS = 7
-"""How many connections of clients these limits allow."""
+"""Number of clients' connections that these limits allow."""
 MAX_CLOSING_CONNECTIONS = 2
-"""How many more there may be for a moment, which the event loop has yet to close."""
+"""Number of connections above the limit that the event loop may not have closed yet."""
 
 
 # ---- duplicate requests
@@ -52,7 +52,7 @@
         first.writer.write(request_bytes("post", request_id="aa"))
         await endpoint.request_arrived.wait()
         assert (await second.exchange(request_bytes("post", request_id="aa")))[0] == 409
-        first.writer.close()  # its client has left, but its attempt is still in flight
+        first.writer.close()  # its client has disconnected, but its attempt is still in flight
         await wait_until(lambda: is_answered(sidecar))
         third = await sidecar.connect_client()
         assert (await third.exchange(request_bytes("post", request_id="aa")))[0] == 409
@@ -82,7 +82,7 @@
 
 @async_test
 async def test_longest_idle_connection_is_evicted_before_new_ones() -> None:
-    """Otherwise clients that once sent a request and stay would leave no room to all others."""
+    """Otherwise clients that stay connected after a request would use up the limit on connections."""
     async with run_endpoint(answer_ok) as endpoint, run_sidecar(endpoint.address, limits=LIMITS) as sidecar:
         set_time(sidecar, 0.0)  # so no connection has waited yet
         idle_clients = [await sidecar.connect_client() for _ in range(7)]
@@ -113,18 +113,18 @@
 
 
 class AdmissionRecorder:
-    """Takes the place of a listener's `on_connection_opened`, and records each connection."""
+    """Replaces a listener's `on_connection_opened`, and records each connection."""
 
     def __init__(self, sidecar: Sidecar) -> None:
         self.connections: list[DownstreamConnection] = []
         """All connections so far, oldest first."""
         self.max_connection_count = 0
-        """How many were open at once."""
+        """The largest number of connections that were open at once."""
         self._listener = sidecar.listener
         self._on_connection_opened = sidecar.listener.on_connection_opened
 
     def on_connection_opened(self, connection: DownstreamConnection) -> None:
-        """Record a connection and have it admitted."""
+        """Record a connection, and let the listener admit it."""
         self.connections.append(connection)
         self._on_connection_opened(connection)
         self.max_connection_count = max(self.max_connection_count, len(self._listener))
@@ -161,7 +161,7 @@
             lingering = [connection for connection in closed if connection.is_connected]
             assert recorder.max_connection_count <= MAX_CONNECTIONS + MAX_CLOSING_CONNECTIONS
             assert len(lingering) <= 3
-            # The newest that linger are still there, and no other has gone before them.
+            # The newest lingering connections are still open, so the oldest were evicted first.
             assert lingering == closed[-len(lingering) :]
             connected_count = sum(connection.is_connected for connection in connections)
             assert connected_count == len(sidecar.listener)
--- a/tests/sidecar/downstream/test_pipelining.py
+++ b/tests/sidecar/downstream/test_pipelining.py
@@ -1,4 +1,4 @@
-"""Pipelined requests on a client's connection: how many are accepted, and when they count as arrived."""
+"""Tests of pipelined requests on a client's connection: the limit on them, and their arrival times."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 
 class PendingPipeline(NamedTuple):
-    """As many pipelined requests as are accepted at once, which the endpoint answers once released."""
+    """A full pipeline of requests, to which the endpoint responds once `released` is set."""
 
     sidecar: Sidecar
     endpoint: ScriptedEndpoint
@@ -46,23 +46,23 @@
     released: asyncio.Event
 
     def propagated_timeouts_seconds(self) -> list[float]:
-        """Return the remaining time that each attempt announced to the endpoint, in seconds."""
+        """Return the remaining time that each attempt propagated to the endpoint, in seconds."""
         return [float(request.headers[b"req-deadline"]) for request in self.endpoint.received_requests]
 
     async def wait_for_further_request(self) -> None:
-        """Wait until the endpoint has more requests than are accepted at once."""
+        """Wait until the endpoint has received more requests than a full pipeline has."""
         await wait_until(lambda: len(self.endpoint.received_requests) > MAX_PIPELINED_REQUESTS)
 
 
 def freeze_clock(sidecar: Sidecar) -> None:
-    """Stop the sidecar's clock, so that the times that attempts announce are exact."""
+    """Stop the sidecar's clock, so that the timeouts that attempts propagate are exact."""
     now_ns = sidecar.dispatcher.clock.monotonic_ns()
     sidecar.dispatcher.clock.monotonic_ns = lambda: now_ns
 
 
 @contextlib.asynccontextmanager
 async def run_pending_pipeline(further_requests: int = 0) -> AsyncIterator[PendingPipeline]:
-    """Send pipelined requests with 8 s each at time 100, some more than are accepted at once."""
+    """Send a full pipeline and further requests at time 100 s, each with a timeout of 8 s."""
     released = asyncio.Event()
 
     async def respond_when_released(_request: ReceivedRequest) -> bytes:
@@ -93,7 +93,7 @@
 
 @async_test
 async def test_request_read_after_a_pause_counts_from_the_start_of_the_pause() -> None:
-    """Its bytes wait in the socket, and nothing reports when they arrived."""
+    """Its bytes wait in the socket while reading is paused, and no event reports when they arrived."""
     async with run_pending_pipeline() as pipeline:
         sidecar, client = pipeline.sidecar, pipeline.client
         [connection] = sidecar.listener.accepting_connections
@@ -107,14 +107,14 @@
         assert pipeline.propagated_timeouts_seconds()[-1] == 4.99
         for _ in range(MAX_PIPELINED_REQUESTS + 1):
             assert (await client.read_response())[0] == 200
-        client.writer.write(request_bytes(deadline="8"))  # no longer behind the pause
+        client.writer.write(request_bytes(deadline="8"))  # reading is not paused any more
         assert (await client.read_response())[0] == 200
         assert pipeline.propagated_timeouts_seconds()[-1] == 7.99
 
 
 @async_test
 async def test_request_that_is_read_in_small_parts_counts_from_when_it_had_arrived() -> None:
-    """The socket had all of it when its first part was read; a read may return less than there is."""
+    """The whole request was in the socket when its first part was read; a read may return only a part."""
     async with run_client_session() as session:
         freeze_clock(session.sidecar)
         session.client.sendall(b"x" * 10)
--- a/tests/sidecar/downstream/test_request_reader.py
+++ b/tests/sidecar/downstream/test_request_reader.py
@@ -1,4 +1,4 @@
-"""Dividing the bytes of a connection into requests, and when these had arrived."""
+"""Tests of splitting the bytes of a connection into requests, and of their arrival times."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 def arrival_times(reader: RequestReader) -> list[float]:
-    """Remove all complete requests, and return when each had arrived, in seconds."""
+    """Remove all complete requests, and return their arrival times in seconds."""
     times_seconds = []
     while reader.has_unparsed_bytes and (request := reader.next_request()) is not None:
         times_seconds.append(request.arrived_at_seconds)
--- a/tests/sidecar/downstream/test_request_validator.py
+++ b/tests/sidecar/downstream/test_request_validator.py
@@ -1,4 +1,4 @@
-"""The header fields of the sidecar's own protocol: how they are checked and which go on to the endpoint."""
+"""Tests of the header fields of the sidecar's protocol: their validation, and which are forwarded."""
 
 from __future__ import annotations
 
--- a/tests/sidecar/downstream/test_requests_over_sockets.py
+++ b/tests/sidecar/downstream/test_requests_over_sockets.py
@@ -1,4 +1,4 @@
-"""Tests of the client's side over loopback sockets: forwarding, pipelining, clients that leave."""
+"""Tests of the downstream side over loopback sockets: forwarding, pipelining, clients that disconnect."""
 
 from __future__ import annotations
 
@@ -94,7 +94,10 @@
 @pytest.mark.parametrize("ending", ["last", "pipelined", "flooded"])
 @async_test
 async def test_client_disconnect_is_detected_while_reading_is_paused(ending: str) -> None:
-    """Reading pauses after the last request and with a full pipeline; the requests must not be sent then."""
+    """Reading pauses with a full pipeline and for a flood after the last request.
+
+    The event loop does not report the disconnect then, but the requests must not be sent.
+    """
     async with run_endpoint(answer_ok) as endpoint, run_sidecar(endpoint.address) as sidecar:
         gate = ConnectGate(sidecar, holds_established=False)
         client = await sidecar.connect_client()
--- a/tests/sidecar/http/test_outbound_connection.py
+++ b/tests/sidecar/http/test_outbound_connection.py
@@ -1,4 +1,4 @@
-"""Tests of an upstream connection over loopback sockets: how a response ends, and when it is reusable."""
+"""Tests of outbound connections over loopback sockets: the end of a response, and reuse of a connection."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 @contextlib.asynccontextmanager
 async def open_connection() -> AsyncIterator[tuple[OutboundConnection, socket.socket]]:
-    """A connection, and the socket of its peer, on which a test acts at once."""
+    """Open a connection, and yield it with the blocking socket of its peer."""
     with socket.create_server(("127.0.0.1", 0)) as server:
         loop = asyncio.get_running_loop()
         _, connection = await loop.create_connection(OutboundConnection, *server.getsockname())
@@ -48,7 +48,7 @@
         assert peer.recv(100) == REQUEST
 
     def _handle_response(self, response: HttpResponse | None) -> None:
-        self.on_response(response)  # as the test has set it by then
+        self.on_response(response)  # looked up late, as a test may replace it
 
 
 @contextlib.asynccontextmanager
@@ -66,7 +66,7 @@
 
 @async_test
 async def test_connection_closed_by_peer_is_not_reusable() -> None:
-    """The end is unread in the kernel: the event loop has not run since, so no callback has told of it."""
+    """The event loop has not run since the peer's close, so no callback has reported it."""
     async with open_connection() as (connection, peer):
         assert connection.is_reusable()
         peer.close()
@@ -84,7 +84,7 @@
 
 @async_test
 async def test_close_ends_request_in_flight_before_event_loop_runs() -> None:
-    """Left to the event loop's next turn, two copies of the request could be in flight until then."""
+    """If the event loop closed it in its next iteration, two copies of the request could be in flight."""
     async with open_connection() as (connection, peer):
         assert connection.send(REQUEST, lambda _response: None)
         connection.close()  # the event loop has not run since
@@ -102,10 +102,10 @@
 )
 @async_test
 async def test_unusable_response_ends_connection_before_callback(raw: bytes) -> None:
-    """Left to the event loop's next turn, a further attempt would be a second copy in flight until then."""
+    """If the event loop closed it in its next iteration, a retry could be a second copy in flight."""
     async with pending_exchange() as exchange:
         received: list[bytes] = []
-        # Called when a further attempt would be sent.
+        # Called at the moment at which a retry would be sent.
         exchange.on_response = lambda _response: received.append(exchange.peer.recv(1))
         exchange.peer.settimeout(TEST_TIMEOUT_SECONDS / 4)
         exchange.peer.sendall(raw)
@@ -115,7 +115,7 @@
 
 @async_test
 async def test_connections_are_kept_alive_on_both_sides() -> None:
-    """Without keep-alive every request would pay for a handshake."""
+    """Without keep-alive every request would need a handshake."""
     async with run_endpoint(answer_ok) as endpoint, run_sidecar(endpoint.address) as sidecar:
         client = await sidecar.connect_client()
         for _ in range(5):
@@ -129,7 +129,7 @@
 )
 @async_test
 async def test_response_without_length_ends_with_connection(parts: tuple[bytes, ...]) -> None:
-    """Refused, it would be a broken connection: the request failed or ran again, although it had run."""
+    """If it counted as a lost connection, an executed request would fail or be retried."""
     async with pending_exchange() as exchange:
         for part in parts:
             exchange.peer.sendall(part)
@@ -145,7 +145,7 @@
 @pytest.mark.parametrize("raw", [HEAD_WITHOUT_LENGTH, HEAD_WITHOUT_LENGTH + b"do", HEAD_WITHOUT_LENGTH[:-2]])
 @async_test
 async def test_reset_does_not_complete_response_without_length(raw: bytes, ends_stream: bool) -> None:
-    """Not even where the end of the stream came just before: the socket then reports an error."""
+    """This holds even if the end of the stream came just before: the socket then reports an error."""
     async with pending_exchange() as exchange:
         exchange.peer.sendall(raw)
         if ends_stream:
@@ -186,9 +186,9 @@
 )
 @async_test
 async def test_unsuccessful_response_is_complete_with_its_head(raw: bytes, outcome: AttemptOutcome) -> None:
-    """Its body is not passed on, so it is not waited for, nor does it matter what becomes of it."""
+    """Its body is not forwarded, so the sidecar does not wait for the end of the body."""
     async with pending_exchange() as exchange:
-        exchange.peer.sendall(raw)  # the body does not end
+        exchange.peer.sendall(raw)  # the peer does not end the body
         assert outcome_of_response(await exchange.response) == outcome
         assert not exchange.connection.is_reusable()
         assert exchange.peer.recv(1) == b""
--- a/tests/sidecar/http/test_request.py
+++ b/tests/sidecar/http/test_request.py
@@ -1,4 +1,4 @@
-"""The grammar of requests: which heads are accepted, and how others are rejected."""
+"""Tests of the grammar of requests: which heads are accepted, and how others are rejected."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 MALFORMED_REQUESTS = [
     (MALFORMED_REQUEST, 400),
-    (b"\x16\x03\x01\x02", 400),  # TLS: the end of a head will never come
+    (b"\x16\x03\x01\x02", 400),  # TLS: the end of a head never arrives
     (b"GET /up HTTP/1.1\nHost: x\n\n", 400),
     (b"GET http://other/ HTTP/1.1\r\n\r\n", 400),
     (POST % b"Content-Length: x", 400),
@@ -38,7 +38,7 @@
     (POST % b"Content-Length: 60000000", 413),
     (POST % b"Content-Length: 99999999999999999999", 400),
     (request_bytes(extra_headers=b"X: " + b"x" * 40_000 + b"\r\n"), 431),
-    (b"GET / HTTP/1.1\r\nX: " + b"x" * (MAX_HEAD_BYTES + 1), 431),  # without its end
+    (b"GET / HTTP/1.1\r\nX: " + b"x" * (MAX_HEAD_BYTES + 1), 431),  # an incomplete head
     (b"GET /" + b"a" * (MAX_HEAD_BYTES + 1), 414),
     (request_bytes().replace(b"/api", b"/" + b"a" * 40_000), 414),
     (request_bytes(extra_headers=b"Connection: upgrade\r\nUpgrade: h2c\r\n"), 400),
--- a/tests/sidecar/http/test_response_parser.py
+++ b/tests/sidecar/http/test_response_parser.py
@@ -1,4 +1,4 @@
-"""Tests of the response parser: what it refuses, with which error, and whether a connection is kept."""
+"""Tests of the response parser: its errors for unusable responses, and whether a connection is kept alive."""
 
 from __future__ import annotations
 
@@ -125,7 +125,7 @@
 
 
 def test_httptools_reports_keep_alive_only_inside_its_callback() -> None:
-    """The parser relies on it: asked later, httptools answers that the connection is not kept."""
+    """The parser relies on this: after the callback, httptools always reports no keep-alive."""
     results: list[bool] = []
 
     class Callbacks:
