--- a/balancer/sidecar/downstream/connection.py
+++ b/balancer/sidecar/downstream/connection.py
@@ -247,7 +247,7 @@
         while (response := self._exchanges.first_response()) is not None:
             exchange = self._exchanges.popleft()
             self._restart_wait()
-            # While the listener drains, requests that were accepted before on this connection are answered.
+            # While the listener drains, requests accepted earlier on the connection get a response first.
             is_last = exchange.is_last or (self._manager.is_draining and self.is_idle)
             self._transport.write(encode_response(response, close=is_last))
             if is_last:
--- a/balancer/sidecar/downstream/connection_registry.py
+++ b/balancer/sidecar/downstream/connection_registry.py
@@ -37,7 +37,7 @@
 
     @property
     def is_above_half_capacity(self) -> bool:
-        """Return whether more than half of the connections allowed are open."""
+        """Return whether more than half of the allowed connections are open."""
         return self._open_count > self._max_connections // 2
 
     def accepting(self) -> list[DownstreamConnection]:
--- a/balancer/sidecar/downstream/flow_control.py
+++ b/balancer/sidecar/downstream/flow_control.py
@@ -8,13 +8,13 @@
 from balancer.sidecar.http.message import MAX_REQUEST_BODY_BYTES
 
 MAX_DISCARDED_BYTES_LINGERING = 1024 * 1024
-"""Bytes that are read and discarded on a lingering connection before reading pauses.
+"""Number of bytes that are read and discarded on a lingering connection before reading pauses.
 
 The limit covers what a client may send before it notices the close. A client that sends more is flooding.
 """
 
 MAX_DISCARDED_BYTES_FINISHING = MAX_REQUEST_BODY_BYTES
-"""Bytes that are read and discarded after the last request while its response is pending.
+"""Number of bytes that are read and discarded after the last request while its response is pending.
 
 Reading continues in order to detect a disconnect. A client that sends more than one request body is flooding.
 """
