--- a/tests/sidecar/downstream/test_client_disconnect.py
+++ b/tests/sidecar/downstream/test_client_disconnect.py
@@ -176,10 +176,10 @@
 
 
 @pytest.mark.parametrize("how", [Disconnect.HALF_CLOSE, Disconnect.RESET])
-@pytest.mark.parametrize("extra", [b"", CLOSE_HEADER], ids=["reading paused", "last request"])
+@pytest.mark.parametrize("extra_headers", [b"", CLOSE_HEADER], ids=["reading paused", "last request"])
 @async_test
 async def test_request_is_not_retried_after_disconnect_with_unread_responses(
-    extra: bytes, how: Disconnect
+    extra_headers: bytes, how: Disconnect
 ) -> None:
     """Responses that the client never reads must not delay the detection of its disconnect.
 
@@ -199,13 +199,13 @@
         sidecar.dispatcher.upstream.buffer_budget.max_bytes = 1 << 30
         with connect_socket(sidecar) as client:
             gets = [request_bytes() for _ in range(MAX_PIPELINED_REQUESTS - 1)]
-            client.sendall(b"".join(gets) + request_bytes("post", body=b"x", extra_headers=extra))
+            client.sendall(b"".join(gets) + request_bytes("post", body=b"x", extra_headers=extra_headers))
             await wait_until(lambda: posts and len(sidecar.dispatcher.ledger.in_flight) == 1)
             connection = only_connection(sidecar)
             assert connection.flow_control.is_write_blocked
-            assert connection.flow_control.is_reading_paused == (not extra)
+            assert connection.flow_control.is_reading_paused == (not extra_headers)
             disconnect(client, how)
-            if extra and how is Disconnect.HALF_CLOSE:
+            if extra_headers and how is Disconnect.HALF_CLOSE:
                 await wait_until(lambda: disconnected_count(sidecar))  # an event reports it
             response_released.set()
             await wait_until(lambda: not sidecar.dispatcher.ledger.in_flight)
--- a/tests/sidecar/downstream/test_requests_over_sockets.py
+++ b/tests/sidecar/downstream/test_requests_over_sockets.py
@@ -91,9 +91,9 @@
         assert (await client.exchange(request)).status == 200
 
 
-@pytest.mark.parametrize("ending", ["last", "pipelined", "flooded"])
+@pytest.mark.parametrize("connection_state", ["last", "pipelined", "flooded"])
 @async_test
-async def test_client_disconnect_is_detected_while_reading_is_paused(ending: str) -> None:
+async def test_client_disconnect_is_detected_while_reading_is_paused(connection_state: str) -> None:
     """Reading pauses with a full pipeline and for a flood after the last request.
 
     The event loop does not report the disconnect then, but the requests must not be sent.
@@ -101,18 +101,18 @@
     async with run_endpoint(answer_ok) as endpoint, run_sidecar(endpoint.address) as sidecar:
         gate = ConnectGate(sidecar, holds_established=False)
         client = await sidecar.connect_client()
-        if ending == "pipelined":
+        if connection_state == "pipelined":
             request_count = MAX_PIPELINED_REQUESTS
             client.writer.write(b"".join(request_bytes() for _ in range(request_count + 3)))
         else:
             request_count = 1
             client.writer.write(request_bytes(extra_headers=b"Connection: close\r\n"))
         await wait_until(lambda: gate.connect_count >= request_count)
-        if ending == "flooded":
+        if connection_state == "flooded":
             client.writer.write(b"x" * 200_000)
         [transport] = sidecar.client_transports
-        await wait_until(lambda: transport.is_reading() == (ending == "last"))
-        if ending == "flooded":
+        await wait_until(lambda: transport.is_reading() == (connection_state == "last"))
+        if connection_state == "flooded":
             client.writer.transport.abort()
         else:
             client.writer.close()
