--- a/tests/sidecar/downstream/test_requests_over_sockets.py
+++ b/tests/sidecar/downstream/test_requests_over_sockets.py
@@ -94,9 +94,10 @@
 @pytest.mark.parametrize("connection_state", ["last", "pipelined", "flooded"])
 @async_test
 async def test_client_disconnect_is_detected_while_reading_is_paused(connection_state: str) -> None:
-    """With a full pipeline or a flood after the last request, reading pauses and no event reports a disconnect.
+    """The requests of the client must be abandoned without being sent.
 
-    The requests must be abandoned in these states too, and must not be sent.
+    With a full pipeline, or a flood after the last request, reading is paused and no event reports the
+    disconnect.
     """
     async with run_endpoint(answer_ok) as endpoint, run_sidecar(endpoint.address) as sidecar:
         gate = ConnectGate(sidecar, holds_established=False)
