--- a/tests/sidecar/downstream/test_client_disconnect.py
+++ b/tests/sidecar/downstream/test_client_disconnect.py
@@ -40,7 +40,7 @@
 
 
 class ConnectionState(Enum):
-    """What a client has sent when it disconnects. In none of these states an event reports it in time."""
+    """What a client has sent when it disconnects. No event reports it in time in any of these states."""
 
     ONE_REQUEST = "one request"
     LAST_REQUEST = "last request"
