--- a/tests/sidecar/discovery/scripted_discovery.py
+++ b/tests/sidecar/discovery/scripted_discovery.py
@@ -1,4 +1,4 @@
-"""A discovery server whose answers a test scripts, and a record of the calls that a sidecar makes to it."""
+"""A discovery server whose responses a test scripts, and a recorder of the calls of a sidecar to it."""
 
 from __future__ import annotations
 
@@ -20,49 +20,51 @@
 from tests.sidecar.event_loop import TEST_TIMEOUT_SECONDS
 from tests.sidecar.messages import ok_response
 
-AnswerScript: TypeAlias = Callable[[asyncio.StreamWriter], Awaitable[None]]
-"""Answers one call in its own way."""
+ResponseScript: TypeAlias = Callable[[asyncio.StreamWriter], Awaitable[None]]
+"""Responds to one call, or fails to do so, on the connection of the call."""
 
-SHORT_TIMEOUT_SECONDS = 0.05  # replaces the timeout that a test is about; no other timeout may end its calls
+SHORT_TIMEOUT_SECONDS = 0.05  # replaces the timeout that a test checks; no other timeout may end its calls
 
-DRAIN_UPDATE = json.dumps(
+DRAINING_UPDATE = json.dumps(
     {"seq": 2, "whole": False, "hosts": [endpoint_entry("s-0", "127.0.0.1:9", "draining")]}, indent=2
 ).encode()
 UNCHANGED_UPDATE = b'{"seq":1,"whole":false,"hosts":[]}'
-INCOMPLETE_RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 40000\r\n\r\n" + DRAIN_UPDATE[:40]
+INCOMPLETE_RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 40000\r\n\r\n" + DRAINING_UPDATE[:40]
 DISCOVERY_FAILED = EndpointUpdate(EndpointUpdateKind.DISCOVERY_FAILED, ())
 
 
 def discovery_settings(polled: bool) -> dict[str, Any]:
-    """Return the settings of a sidecar whose endpoint list is polled, or pushed."""
+    """Return the settings of a sidecar whose endpoint lists are polled or pushed."""
     return SETTINGS | {"Discovery": "on_request" if polled else "pushed"}
 
 
 def is_update_of(kind: EndpointUpdateKind) -> Callable[[Event], bool]:
-    """Return a condition on events: that one is an endpoint update of this kind."""
+    """Return a predicate that holds for an endpoint update of this kind."""
     return lambda event: isinstance(event, EndpointUpdate) and event.kind == kind
 
 
-def is_drain_update(event: Event) -> bool:
+def is_draining_update(event: Event) -> bool:
     if not isinstance(event, EndpointUpdate):
         return False
     return any(endpoint.health == EndpointHealth.DRAINING for endpoint in event.endpoints)
 
 
 class ScriptedDiscovery:
-    """Answers the first call on its first connection with no changes, and the second by a script.
+    """A discovery server that handles one call by a script.
 
-    Every other call is answered with a drain. Nothing listens on its address before `listen`.
+    On the first connection, the response to the first call has no changes, and the script handles the second
+    call. The response to any other call reports that an endpoint is draining. Nothing listens on its address
+    before `listen`.
 
     Args:
-        script: Answers the second call; without one, the first call is answered with the drain.
+        script: Handles the second call. If it is None, the response to the first call reports the draining.
     """
 
-    def __init__(self, script: AnswerScript | None) -> None:
+    def __init__(self, script: ResponseScript | None) -> None:
         self.socket = socket.socket()
         self.socket.bind(("127.0.0.1", 0))
         self.address = Address(*self.socket.getsockname())
-        self.dial = str(self.address)
+        self.address_text = str(self.address)
         self.request_lines: list[bytes] = []
         self.request_received = asyncio.Event()
         self.connections = 0
@@ -78,7 +80,7 @@
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.connections += 1
-        scripts = [send(ok_response(DRAIN_UPDATE))]
+        scripts = [send(ok_response(DRAINING_UPDATE))]
         if self._script is not None and self.connections == 1:
             scripts = [send(ok_response(UNCHANGED_UPDATE)), self._script, *scripts]
         with contextlib.suppress(ConnectionError, asyncio.IncompleteReadError):
@@ -92,14 +94,14 @@
         writer.close()
 
 
-def send(response: bytes) -> AnswerScript:
+def send(response: bytes) -> ResponseScript:
     async def script(writer: asyncio.StreamWriter) -> None:
         writer.write(response)
 
     return script
 
 
-def send_and_close(response: bytes) -> AnswerScript:
+def send_and_close(response: bytes) -> ResponseScript:
     async def script(writer: asyncio.StreamWriter) -> None:
         writer.write(response)
         writer.close()
@@ -114,7 +116,7 @@
     writer.transport.abort()
 
 
-async def send_without_end(writer: asyncio.StreamWriter) -> None:
+async def send_endless_response(writer: asyncio.StreamWriter) -> None:
     writer.write(INCOMPLETE_RESPONSE)
     while not writer.transport.is_closing():
         writer.write(b" ")
@@ -125,14 +127,15 @@
 async def unreachable(
     discovery: ScriptedDiscovery, connect_hangs: bool
 ) -> AsyncIterator[Callable[[], Awaitable[None]]]:
-    """Keep discovery out of reach until the function that is yielded is awaited.
+    """Make discovery unreachable until the function that is yielded is awaited.
 
-    Connects are refused, or hang as the only place in the backlog is taken and nothing is accepted.
+    Connection attempts are refused. With `connect_hangs`, they hang: nothing is accepted, and another client
+    takes the only place in the backlog.
     """
-    with socket.socket() as filler:
+    with socket.socket() as queued_client:
         if connect_hangs:
             discovery.socket.listen(0)
-            filler.connect(discovery.address)
+            queued_client.connect(discovery.address)
 
         async def make_reachable() -> None:
             if connect_hangs:
@@ -147,19 +150,19 @@
     """A call with the timing that the client chose for it."""
 
     timeout_seconds: float
-    hold_seconds: float | None
-    """None where the call fetches a snapshot."""
+    long_poll_timeout_seconds: float | None
+    """The timeout of the long poll; None if the call fetches a snapshot."""
 
 
 class CallRecorder:
     """Records the calls of a sidecar, and replaces their timeouts.
 
-    No call ends by its timeout, but the one that the test gives a short one.
+    All timeouts are too long to be reached in a test, except the short ones that it requests.
 
     Args:
-        monkeypatch: Undoes the replacement.
-        short_call: The index of the call with the short timeout.
-        short_connect: Whether connects have the short timeout until the first call has failed.
+        monkeypatch: Undoes the replacement after the test.
+        short_call: The index of the call that gets a short timeout; None for no call.
+        short_connect: Whether the connect timeout is short until the first call has failed.
     """
 
     def __init__(
@@ -182,16 +185,20 @@
             return await self._finish_call(original_fetch(caller, replaced_seconds))
 
         async def watch(
-            caller: DiscoveryCaller, version: int, hold_seconds: float, timeout_seconds: float
+            caller: DiscoveryCaller, version: int, long_poll_timeout_seconds: float, timeout_seconds: float
         ) -> EndpointListUpdate:
-            replaced_seconds = self._start_call(caller, RecordedCall(timeout_seconds, hold_seconds))
-            return await self._finish_call(original_watch(caller, version, hold_seconds, replaced_seconds))
+            replaced_seconds = self._start_call(
+                caller, RecordedCall(timeout_seconds, long_poll_timeout_seconds)
+            )
+            return await self._finish_call(
+                original_watch(caller, version, long_poll_timeout_seconds, replaced_seconds)
+            )
 
         monkeypatch.setattr(DiscoveryCaller, "fetch_snapshot", fetch_snapshot)
         monkeypatch.setattr(DiscoveryCaller, "watch", watch)
 
     def _start_call(self, caller: DiscoveryCaller, call: RecordedCall) -> float:
-        """Record a call and return the timeout that it gets."""
+        """Record a call, set the connect timeout, and return the timeout of the call."""
         is_short = len(self.calls) == self._short_call
         self.calls.append(call)
         self.call_started.set()
