--- a/tests/sidecar/downstream/test_connection_timeouts.py
+++ b/tests/sidecar/downstream/test_connection_timeouts.py
@@ -20,7 +20,9 @@
         sidecar.listener.timeouts = DownstreamTimeouts(
             sweep_interval_seconds=0.05, first_byte_seconds=0.05, first_request_seconds=0.05
         )
-        client_without_request, partial_head, partial_body = [await sidecar.connect_client() for _ in range(3)]
+        client_without_request, partial_head, partial_body = [
+            await sidecar.connect_client() for _ in range(3)
+        ]
         partial_head.writer.write(request_bytes()[:-2])
         partial_body.writer.write(request_bytes("post", body=b"x" * 100)[:-1])
         for client in (partial_head, partial_body):
