--- a/soak/account_server/attempt_recorder.py
+++ b/soak/account_server/attempt_recorder.py
@@ -29,7 +29,7 @@
         self._history = history
         self._proxy = proxy
         self._transport: asyncio.Transport | None = None
-        self._known_arrivals: ArrivalLog | None = None
+        self._cached_arrivals: ArrivalLog | None = None
 
     def attach(self, transport: asyncio.Transport) -> None:
         """Set the transport of the connection, by which its record at the proxy is found."""
@@ -57,8 +57,8 @@
         end_times_seconds = [self._clock.now_seconds()]
         arrivals = self._arrivals()
         if arrivals is not None:
-            known_ends_seconds = (arrivals.closed_at_seconds, arrivals.reset_at_seconds)
-            end_times_seconds += [at_seconds for at_seconds in known_ends_seconds if at_seconds is not None]
+            connection_end_times_seconds = (arrivals.closed_at_seconds, arrivals.reset_at_seconds)
+            end_times_seconds += [at_seconds for at_seconds in connection_end_times_seconds if at_seconds is not None]
         self.current.end = end
         self.current.ended_at_seconds = min(end_times_seconds)
         self.current = None
@@ -75,7 +75,7 @@
 
     def _arrivals(self) -> ArrivalLog | None:
         """Return what arrived at the proxy on this connection, if that is known."""
-        if self._known_arrivals is None and self._transport is not None:
+        if self._cached_arrivals is None and self._transport is not None:
             peer = self._transport.get_extra_info("peername")
-            self._known_arrivals = self._proxy.arrivals_from(peer[1]) if peer else None
-        return self._known_arrivals
+            self._cached_arrivals = self._proxy.arrivals_from(peer[1]) if peer else None
+        return self._cached_arrivals
--- a/soak/account_server/connection.py
+++ b/soak/account_server/connection.py
@@ -155,8 +155,8 @@
         loop.call_later(delay_seconds, self._write_duplicate, duplicate, now_seconds)
 
     def _write_duplicate(self, data: bytes, first_at_seconds: float) -> None:
-        late_seconds = self._state.clock.now_seconds() - first_at_seconds
-        if late_seconds <= MAX_DUPLICATE_LATENESS_SECONDS:
+        lateness_seconds = self._state.clock.now_seconds() - first_at_seconds
+        if lateness_seconds <= MAX_DUPLICATE_LATENESS_SECONDS:
             self._write(data)
 
     def _write(self, data: bytes) -> None:
--- a/soak/account_server/server.py
+++ b/soak/account_server/server.py
@@ -16,7 +16,7 @@
 from soak.network.fault_proxy import FaultProxy
 from soak.network.sockets import Address
 
-SLOW_FACTOR = 8.0
+SLOW_SERVICE_TIME_FACTOR = 8.0
 """Factor by which a slow server takes longer."""
 LISTEN_HOST = "127.0.0.1"
 """Only the proxy connects to it."""
@@ -121,7 +121,7 @@
             age_seconds = self._clock.now_seconds() - self._incarnation.started_at_seconds
             mean_seconds /= self._deployment.capacity_share(age_seconds)
         if self._state.fault == ServerFault.SLOW:
-            mean_seconds *= SLOW_FACTOR
+            mean_seconds *= SLOW_SERVICE_TIME_FACTOR
         return self._random.expovariate(1 / mean_seconds)
 
     def _make_connection(self) -> ServerConnection:
--- a/soak/clients/behaviour.py
+++ b/soak/clients/behaviour.py
@@ -18,14 +18,14 @@
     PIPELINES = "pipelines many requests"
     GARBAGE = "sends garbage"
     PARTIAL_REQUEST = "stops in the middle of a request"
-    SILENT = "sends nothing"
+    SENDS_NOTHING = "sends nothing"
     FLOODS = "sends much garbage and disconnects"
 
 
 MALFORMED_BEHAVIOURS = (
     Behaviour.GARBAGE,
     Behaviour.PARTIAL_REQUEST,
-    Behaviour.SILENT,
+    Behaviour.SENDS_NOTHING,
     Behaviour.FLOODS,
 )
 """Those of clients that send no valid request."""
@@ -54,7 +54,7 @@
             Behaviour.PIPELINES: 0.5,
             Behaviour.GARBAGE: 0.3,
             Behaviour.PARTIAL_REQUEST: 0.3,
-            Behaviour.SILENT: 0.2,
+            Behaviour.SENDS_NOTHING: 0.2,
             Behaviour.FLOODS: 0.2,
         }
     )
--- a/soak/clients/connection.py
+++ b/soak/clients/connection.py
@@ -21,12 +21,12 @@
     """A request that waits for its response on a connection."""
 
     request: ClientRequest
-    is_done: asyncio.Future[None]
+    completion: asyncio.Future[None]
 
     def finish(self) -> None:
         """Wake up whoever waits for the outcome."""
-        if not self.is_done.done():
-            self.is_done.set_result(None)
+        if not self.completion.done():
+            self.completion.set_result(None)
 
 
 class ClientConnection(asyncio.Protocol):
@@ -94,21 +94,21 @@
 
     def send(self, request: ClientRequest, last_bytes: bytes) -> asyncio.Future[None]:
         """Write the last bytes of a request; the future is done once its outcome is known."""
-        is_done: asyncio.Future[None] = asyncio.get_running_loop().create_future()
+        completion: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         request.is_first_on_connection = not self.request_count
         request.connection_idle_seconds = self._clock.now_seconds() - self.idle_since_seconds
         request.blocked_until_seconds = max(
             (pending.request.deadline_seconds for pending in self._pending), default=0.0
         )
         self.request_count += 1
-        self._pending.append(_PendingRequest(request, is_done))
+        self._pending.append(_PendingRequest(request, completion))
         self.write(last_bytes)
         request.sent_at_seconds = self._clock.now_seconds()
         if not self.is_open:
             self.disconnect(
                 by_reset=False
             )  # it ended while the request was being written: nobody received it
-        return is_done
+        return completion
 
     def disconnect(self, by_reset: bool) -> None:
         """Close the connection as a client that does not wait for its responses."""
@@ -117,7 +117,7 @@
             pending.request.disconnected_at_seconds = now_seconds
         self._close(by_reset)
 
-    def give_up(self) -> None:
+    def close_after_timeout(self) -> None:
         """Close the connection as a client whose requests have timed out: their responses are missing."""
         self._close(by_reset=False)
 
--- a/soak/clients/load.py
+++ b/soak/clients/load.py
@@ -22,15 +22,15 @@
 """Seconds. A client retries a request whose idle connection ended this soon after it was written."""
 MAX_SLOW_WRITE_SECONDS = 0.3
 """Seconds that a client takes at most to write a request in pieces."""
-SLOW_WRITE_CUTS = 3
+SLOW_WRITE_CUT_COUNT = 3
 """Cuts of a request that is written in pieces."""
 MIN_PIPELINED_REQUESTS = 2
 """Requests; from two on the second waits for the response to the first."""
 MAX_PIPELINED_REQUESTS = 24
 """Requests; more than a sidecar processes at once on one connection."""
-BURSTS = (1, 1, 1, 1, 1, 1, 2, 2, 4, 6)
+BURST_SIZES = (1, 1, 1, 1, 1, 1, 2, 2, 4, 6)
 """Requests that arrive at once, drawn with equal chances: most alone, some in bursts."""
-MEAN_BURST = sum(BURSTS) / len(BURSTS)
+MEAN_BURST_SIZE = sum(BURST_SIZES) / len(BURST_SIZES)
 """Requests of a burst on average."""
 
 
@@ -60,10 +60,10 @@
 
     async def run(self) -> None:
         """Start clients at random times until cancelled; those that have started then go on."""
-        bursts_per_second = self._requests_per_second / MEAN_BURST
+        bursts_per_second = self._requests_per_second / MEAN_BURST_SIZE
         while True:
             await asyncio.sleep(self._random.expovariate(bursts_per_second))
-            for _ in range(self._random.choice(BURSTS)):
+            for _ in range(self._random.choice(BURST_SIZES)):
                 task = asyncio.create_task(self._run_client(self.profile.draw(self._random)))
                 self._tasks.add(task)
                 task.add_done_callback(self._tasks.discard)
@@ -101,35 +101,35 @@
         if behaviour == Behaviour.WRITES_SLOWLY:
             data = await self._write_all_but_last_piece(connection, data)
         self._history.requests[request.request_id] = request
-        is_done = connection.send(request, data)
+        completion = connection.send(request, data)
         if behaviour in (Behaviour.DISCONNECTS, Behaviour.RESETS):
-            await self._disconnect_early(connection, request, is_done, behaviour)
+            await self._disconnect_early(connection, request, completion, behaviour)
             return
-        await self._await_response(connection, request, is_done)
-        if request.end is not None and _met_keep_alive_race(request):
+        await self._await_response(connection, request, completion)
+        if request.end is not None and _is_keep_alive_race(request):
             await self._retry(request, data)
 
     async def _disconnect_early(
         self,
         connection: ClientConnection,
         request: ClientRequest,
-        is_done: asyncio.Future[None],
+        completion: asyncio.Future[None],
         behaviour: Behaviour,
     ) -> None:
         """Disconnect at a random time before the deadline unless the response comes first."""
-        patience_seconds = request.timeout_seconds * self._random.random() ** 2
-        await asyncio.wait((is_done,), timeout=patience_seconds)
-        if not is_done.done():
+        disconnect_delay_seconds = request.timeout_seconds * self._random.random() ** 2
+        await asyncio.wait((completion,), timeout=disconnect_delay_seconds)
+        if not completion.done():
             connection.disconnect(by_reset=behaviour == Behaviour.RESETS)
 
     async def _await_response(
-        self, connection: ClientConnection, request: ClientRequest, is_done: asyncio.Future[None]
+        self, connection: ClientConnection, request: ClientRequest, completion: asyncio.Future[None]
     ) -> None:
-        await asyncio.wait((is_done,), timeout=request.timeout_seconds + RESPONSE_GRACE_SECONDS)
-        if is_done.done():
+        await asyncio.wait((completion,), timeout=request.timeout_seconds + RESPONSE_GRACE_SECONDS)
+        if completion.done():
             self._pool.release(connection)
         else:
-            connection.give_up()
+            connection.close_after_timeout()
 
     async def _retry(self, request: ClientRequest, data: bytes) -> None:
         """Send a request once more, on a new connection."""
@@ -143,27 +143,27 @@
 
     async def _write_all_but_last_piece(self, connection: ClientConnection, data: bytes) -> bytes:
         """Write a request in pieces, with pauses, and return the last piece."""
-        cuts = sorted(self._random.randrange(1, len(data)) for _ in range(SLOW_WRITE_CUTS))
+        cuts = sorted(self._random.randrange(1, len(data)) for _ in range(SLOW_WRITE_CUT_COUNT))
         for start, end in zip([0, *cuts[:-1]], cuts, strict=True):
             connection.write(data[start:end])
-            await asyncio.sleep(self._random.random() * MAX_SLOW_WRITE_SECONDS / SLOW_WRITE_CUTS)
+            await asyncio.sleep(self._random.random() * MAX_SLOW_WRITE_SECONDS / SLOW_WRITE_CUT_COUNT)
         return data[cuts[-1] :]
 
     async def _run_pipeline(self, connection: ClientConnection) -> None:
         count = self._random.randint(MIN_PIPELINED_REQUESTS, MAX_PIPELINED_REQUESTS)
         batch = [self._factory.make() for _ in range(count)]
-        pending = [self._send(connection, prepared) for prepared in batch]
+        completions = [self._send(connection, prepared) for prepared in batch]
         longest_seconds = max(prepared.request.timeout_seconds for prepared in batch)
-        await asyncio.wait(pending, timeout=longest_seconds + RESPONSE_GRACE_SECONDS)
-        if not all(is_done.done() for is_done in pending):
-            connection.give_up()
+        await asyncio.wait(completions, timeout=longest_seconds + RESPONSE_GRACE_SECONDS)
+        if not all(completion.done() for completion in completions):
+            connection.close_after_timeout()
 
     def _send(self, connection: ClientConnection, prepared: PreparedRequest) -> asyncio.Future[None]:
         self._history.requests[prepared.request.request_id] = prepared.request
         return connection.send(prepared.request, prepared.data)
 
 
-def _met_keep_alive_race(request: ClientRequest) -> bool:
+def _is_keep_alive_race(request: ClientRequest) -> bool:
     """Return whether the request met the close of an idle connection, so that the client may retry it."""
     if request.is_first_on_connection:
         return False
--- a/soak/clients/malformed_client.py
+++ b/soak/clients/malformed_client.py
@@ -11,7 +11,7 @@
 from soak.history.events import MalformedPeer
 from soak.history.history import History
 
-WATCH_SECONDS = 4.0
+OBSERVATION_SECONDS = 4.0
 """Seconds for which such a client waits for the sidecar to close: longer than the sidecar may take."""
 MAX_GARBAGE_BYTES = 200
 """Bytes; less than a sidecar buffers of a request's head."""
@@ -48,12 +48,12 @@
             connection.write(self._random.randbytes(garbage_bytes) + b"\r\n\r\n")
         elif behaviour == Behaviour.PARTIAL_REQUEST:
             connection.write(valid_request[: self._random.randrange(1, len(valid_request))])
-        await self._watch(connection, peer)
+        await self._observe(connection, peer)
 
-    async def _watch(self, connection: ClientConnection, peer: MalformedPeer) -> None:
+    async def _observe(self, connection: ClientConnection, peer: MalformedPeer) -> None:
         """Record whether the sidecar responds or closes."""
         self._history.malformed_peers.append(peer)
-        if await connection.wait_until_lost(WATCH_SECONDS):
+        if await connection.wait_until_lost(OBSERVATION_SECONDS):
             peer.ended_at_seconds = self._clock.now_seconds()
         peer.first_bytes = connection.first_bytes.decode("latin-1")
         with contextlib.suppress(OSError):
--- a/soak/clients/request_factory.py
+++ b/soak/clients/request_factory.py
@@ -8,7 +8,7 @@
 from soak.deployment import TENANTS, Deployment, Idempotency, RequestClass
 from soak.history.events import ClientRequest
 
-KEY_COUNT = 200
+RESOURCE_KEY_COUNT = 200
 """Distinct resource keys; low ones are drawn more often."""
 MAX_BODY_BYTES = 20_000
 """Bytes; the larger bodies need several reads."""
@@ -54,7 +54,7 @@
         """Return the bytes of a request; the order of the draws is part of a seed."""
         has_body = request_class.idempotency != Idempotency.IDEMPOTENT
         body = self._random.randbytes(self._random.randrange(MAX_BODY_BYTES)) if has_body else b""
-        key = int(KEY_COUNT * self._random.random() ** 2)
+        key = int(RESOURCE_KEY_COUNT * self._random.random() ** 2)
         lines = [
             f"{'POST' if has_body else 'GET'} /api?k={key:x} HTTP/1.1",
             "Host: backend.local",
--- a/soak/discovery/agent.py
+++ b/soak/discovery/agent.py
@@ -14,7 +14,7 @@
 from soak.history.history import History
 from soak.network.sockets import Address
 
-OLD_ADDRESS_SECONDS = 1.5
+OLD_ADDRESS_CLOSE_DELAY_SECONDS = 1.5
 """Seconds after which an address that the agent has left closes its connections."""
 
 
@@ -38,13 +38,13 @@
         self._deadlines = NotificationDeadlines(sidecar, is_polled, clock, history)
         self._state = AgentState(directory, random, on_list_sent=self._deadlines.record_all)
         self._listener: asyncio.Server | None = None
-        self._down_count = 0
+        self._outage_count = 0
         directory.add_listener(self._on_change)
 
     @property
     def is_down(self) -> bool:
         """Whether the agent rejects connections now."""
-        return self._down_count > 0
+        return self._outage_count > 0
 
     def known_endpoints(self) -> dict[str, Any]:
         """Return the complete list in discovery's form, as a configuration has it."""
@@ -55,7 +55,7 @@
         self._listener = await self._listen((self._host, 0))
         self.address = self._listener.sockets[0].getsockname()[:2]
 
-    async def move(self) -> None:
+    async def listen_at_new_address(self) -> None:
         """Listen at a new address; the old one takes no new connections and closes the open ones later.
 
         To be called only while the agent is not down.
@@ -66,13 +66,13 @@
         await self.start()
         if old_listener is not None:
             old_listener.close()
-        asyncio.get_running_loop().call_later(OLD_ADDRESS_SECONDS, _close_all, old_connections)
+        asyncio.get_running_loop().call_later(OLD_ADDRESS_CLOSE_DELAY_SECONDS, _close_all, old_connections)
 
-    def silence_watches(self) -> None:
+    def stop_watch_responses(self) -> None:
         """Never respond again on the open connections; new ones are served."""
-        self._deadlines.extend_for_silent_watch()
+        self._deadlines.extend_for_unresponsive_watch()
         for connection in self._state.connections:
-            connection.silence()
+            connection.stop_responding()
 
     def reset_connections(self) -> None:
         """Reset the open connections."""
@@ -81,7 +81,7 @@
 
     def go_down(self) -> None:
         """Reject connections until `recover` has been called as often."""
-        self._down_count += 1
+        self._outage_count += 1
         if self._listener is not None:
             self._listener.close()
             self._listener = None
@@ -89,7 +89,7 @@
 
     async def recover(self) -> None:
         """Listen at the same address again; the time to learn of pending changes starts now."""
-        self._down_count -= 1
+        self._outage_count -= 1
         if self.is_down:
             return
         self._listener = await self._listen(self.address)
@@ -97,7 +97,7 @@
 
     def record_process_start(self) -> None:
         """Record that a new process has to know what the agent knows, from its first moment."""
-        for server, health in self._directory.departing_servers().items():
+        for server, health in self._directory.draining_or_removed_servers().items():
             self._deadlines.add(server, health)
 
     def record_overdue(self) -> None:
--- a/soak/discovery/connection.py
+++ b/soak/discovery/connection.py
@@ -39,7 +39,7 @@
 
     since_version: int
     """The version that the sidecar has; 0: none."""
-    hold_seconds: float
+    long_poll_timeout_seconds: float
     """How long the call may wait for a change."""
 
     @classmethod
@@ -47,8 +47,8 @@
         """Parse the target of a request."""
         parameters = parse_qs(urlsplit(target).query)
         since_version = int(parameters.get("from", ["0"])[0])
-        hold_milliseconds = int(parameters.get("hold_ms", ["0"])[0])
-        return cls(since_version, hold_milliseconds / MILLISECONDS_PER_SECOND)
+        long_poll_timeout_milliseconds = int(parameters.get("hold_ms", ["0"])[0])
+        return cls(since_version, long_poll_timeout_milliseconds / MILLISECONDS_PER_SECOND)
 
 
 class AgentConnection(asyncio.Protocol):
@@ -59,7 +59,7 @@
         self._buffer = b""
         self._transport: asyncio.Transport | None = None
         self._task: asyncio.Task[None] | None = None
-        self._is_silent = False
+        self._is_unresponsive = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Keep the transport."""
@@ -82,9 +82,9 @@
         if self._task is not None:
             self._task.cancel()
 
-    def silence(self) -> None:
+    def stop_responding(self) -> None:
         """Respond to no further call."""
-        self._is_silent = True
+        self._is_unresponsive = True
 
     def close(self) -> None:
         """Close the connection."""
@@ -100,8 +100,8 @@
         directory = self._state.directory
         if query.since_version and directory.version <= query.since_version:
             with contextlib.suppress(TimeoutError):
-                await asyncio.wait_for(directory.changed.wait(), query.hold_seconds)
-        if self._is_silent:
+                await asyncio.wait_for(directory.changed.wait(), query.long_poll_timeout_seconds)
+        if self._is_unresponsive:
             return
         document = self._draw_document(query.since_version)
         is_indented = self._state.random.random() < INDENTED_JSON_PROBABILITY
--- a/soak/discovery/endpoint_directory.py
+++ b/soak/discovery/endpoint_directory.py
@@ -18,7 +18,7 @@
 
 
 @dataclass(slots=True)
-class _Entry:
+class _EndpointEntry:
     server: AccountServer
     health: EndpointHealth
     version: int
@@ -46,7 +46,7 @@
         self.version = 1
         self.changed = asyncio.Event()
         """Set at the next change; each change has an event of its own."""
-        self._entries: dict[str, _Entry] = {}
+        self._entries: dict[str, _EndpointEntry] = {}
         self._listeners: list[ChangeListener] = []
 
     def add_listener(self, listener: ChangeListener) -> None:
@@ -56,13 +56,13 @@
     def set_health(self, server: AccountServer, health: EndpointHealth) -> None:
         """Add a server or change its entry, and wake up the watches."""
         self.version += 1
-        self._entries[server.identity.name] = _Entry(server, health, self.version)
+        self._entries[server.identity.name] = _EndpointEntry(server, health, self.version)
         for listener in self._listeners:
             listener(server.identity.name, health)
         self.changed.set()
         self.changed = asyncio.Event()
 
-    def departing_servers(self) -> dict[str, EndpointHealth]:
+    def draining_or_removed_servers(self) -> dict[str, EndpointHealth]:
         """Return the servers that drain or are removed."""
         return {
             name: entry.health for name, entry in self._entries.items() if entry.health != EndpointHealth.UP
@@ -70,8 +70,8 @@
 
     def snapshot(self, omits_draining: bool = False) -> dict[str, Any]:
         """Return the complete list in discovery's form."""
-        shown = {EndpointHealth.UP} if omits_draining else {EndpointHealth.UP, EndpointHealth.DRAINING}
-        entries = (entry for entry in self._entries.values() if entry.health in shown)
+        included_health = {EndpointHealth.UP} if omits_draining else {EndpointHealth.UP, EndpointHealth.DRAINING}
+        entries = (entry for entry in self._entries.values() if entry.health in included_health)
         return self._document(entries, is_complete=True)
 
     def changes_since(self, version: int) -> dict[str, Any]:
@@ -79,6 +79,6 @@
         entries = (entry for entry in self._entries.values() if entry.version > version)
         return self._document(entries, is_complete=False)
 
-    def _document(self, entries: Iterable[_Entry], is_complete: bool) -> dict[str, Any]:
+    def _document(self, entries: Iterable[_EndpointEntry], is_complete: bool) -> dict[str, Any]:
         hosts = [entry.to_json() for entry in entries]
         return {"seq": self.version, "whole": is_complete, "hosts": hosts}
--- a/soak/discovery/notification_deadlines.py
+++ b/soak/discovery/notification_deadlines.py
@@ -8,9 +8,9 @@
 from soak.history.events import EndpointHealth, EndpointNotification
 from soak.history.history import History
 
-SILENT_WATCH_SECONDS = 6.0
+UNRESPONSIVE_WATCH_TIMEOUT_SECONDS = 6.0
 """Seconds after which a sidecar has to have replaced a watch that stopped responding, or to have polled."""
-NEW_ADDRESS_SECONDS = 4.0
+NEW_ADDRESS_TIMEOUT_SECONDS = 4.0
 """Seconds after a SIGHUP in which a sidecar has to have called the new address of its agent."""
 
 
@@ -34,16 +34,16 @@
         self._is_polled = is_polled
         self._clock = clock
         self._history = history
-        self._earliest_due_seconds = 0.0
+        self._earliest_due_at_seconds = 0.0
         self._pending: dict[str, _PendingChange] = {}
 
     def extend_for_new_address(self) -> None:
         """Allow the sidecar the time that it takes to call a new address."""
-        self._extend(NEW_ADDRESS_SECONDS)
+        self._extend(NEW_ADDRESS_TIMEOUT_SECONDS)
 
-    def extend_for_silent_watch(self) -> None:
+    def extend_for_unresponsive_watch(self) -> None:
         """Allow the sidecar the time that it takes to notice a watch that does not respond."""
-        self._extend(SILENT_WATCH_SECONDS)
+        self._extend(UNRESPONSIVE_WATCH_TIMEOUT_SECONDS)
 
     def add(self, server: str, health: EndpointHealth) -> None:
         """Add a change that the sidecar does not know yet."""
@@ -72,12 +72,12 @@
                 del self._pending[server]
 
     def _extend(self, seconds: float) -> None:
-        self._earliest_due_seconds = max(self._earliest_due_seconds, self._clock.now_seconds() + seconds)
+        self._earliest_due_at_seconds = max(self._earliest_due_at_seconds, self._clock.now_seconds() + seconds)
 
     def _due_at_seconds(self) -> float:
         """Return when a change of this moment has to be known at the latest."""
-        patience_seconds = SILENT_WATCH_SECONDS if self._is_polled else 0.0
-        return max(self._clock.now_seconds() + patience_seconds, self._earliest_due_seconds)
+        notice_seconds = UNRESPONSIVE_WATCH_TIMEOUT_SECONDS if self._is_polled else 0.0
+        return max(self._clock.now_seconds() + notice_seconds, self._earliest_due_at_seconds)
 
     def _record(self, server: str, health: EndpointHealth, at_seconds: float) -> None:
         notification = EndpointNotification(self._sidecar, server, health, at_seconds)
--- a/soak/fault_injection/discovery_faults.py
+++ b/soak/fault_injection/discovery_faults.py
@@ -28,7 +28,7 @@
 
     async def _silence_watches(self, fault: PlannedFault) -> str:
         sidecar = choose_member(self._fleet, fault).sidecar
-        sidecar.agent.silence_watches()
+        sidecar.agent.stop_watch_responses()
         await asyncio.sleep(fault.seconds)
         return sidecar.name
 
--- a/soak/fault_injection/process_faults.py
+++ b/soak/fault_injection/process_faults.py
@@ -93,7 +93,7 @@
         sidecar = choose_member(self._fleet, fault).sidecar
         if not sidecar.is_serving or sidecar.agent.is_down:
             return f"{sidecar.name}, which did not serve or had no discovery"
-        await sidecar.agent.move()
+        await sidecar.agent.listen_at_new_address()
         sidecar.write_configuration()
         if fault.strength > UNREADABLE_STRENGTH:
             sidecar.faults.fail(FaultyCall.OPEN_CONFIGURATION, errno.EIO, 1)
--- a/soak/network/sockets.py
+++ b/soak/network/sockets.py
@@ -9,7 +9,7 @@
 Address = tuple[str, int]
 """A host and a port."""
 
-LINGER_OFF_RESET = struct.pack("ii", 1, 0)
+ZERO_LINGER_TIME = struct.pack("ii", 1, 0)
 """SO_LINGER without a time: closing resets the connection (socket(7))."""
 
 
@@ -18,5 +18,5 @@
     if transport.is_closing():
         return
     connection = transport.get_extra_info("socket")
-    connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_OFF_RESET)
+    connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, ZERO_LINGER_TIME)
     transport.abort()
--- a/soak/sidecar/process.py
+++ b/soak/sidecar/process.py
@@ -59,7 +59,7 @@
         self._log_file = directory / f"{self.name}.log"
         self._start_count = 0
         self._process: asyncio.subprocess.Process | None = None
-        self._watch_task: asyncio.Task[None] | None = None
+        self._exit_task: asyncio.Task[None] | None = None
 
     @property
     def is_serving(self) -> bool:
@@ -96,7 +96,7 @@
         self.incarnation = SidecarIncarnation(self.name, self._process.pid, self._clock.now_seconds())
         self._history.sidecars.append(self.incarnation)
         self.agent.record_process_start()
-        self._watch_task = asyncio.create_task(self._watch(self._process, self.incarnation, log_offset))
+        self._exit_task = asyncio.create_task(self._record_exit(self._process, self.incarnation, log_offset))
 
     async def wait_until_ready(self, timeout_seconds: float) -> bool:
         """Wait until the process passes its readiness check; return False if it does not in this time."""
@@ -125,9 +125,9 @@
 
     async def wait_until_ended(self, timeout_seconds: float) -> bool:
         """Wait for the end of the process; return False if it has not ended in this time."""
-        if self._watch_task is None:
+        if self._exit_task is None:
             return True
-        done, _ = await asyncio.wait((self._watch_task,), timeout=timeout_seconds)
+        done, _ = await asyncio.wait((self._exit_task,), timeout=timeout_seconds)
         return bool(done)
 
     def record_resource_usage(self) -> None:
@@ -148,7 +148,7 @@
     def _limit_descriptors(self) -> None:
         resource.setrlimit(resource.RLIMIT_NOFILE, (self._max_descriptors, self._max_descriptors))
 
-    async def _watch(
+    async def _record_exit(
         self, process: asyncio.subprocess.Process, incarnation: SidecarIncarnation, log_offset: int
     ) -> None:
         """Record the end of a process and its log."""
--- a/soak/sidecar/settings_document.py
+++ b/soak/sidecar/settings_document.py
@@ -7,25 +7,25 @@
 from soak.deployment import TENANTS, ZONES, Deployment, Idempotency, RequestClass
 
 SECOND_NS = 1_000_000_000
-TENANT_PORTION = 0.5
+TENANT_CAPACITY_SHARE = 0.5
 """Share of the capacity that each of the two tenants has."""
 TENANT_QUOTA_PER_SECOND = 1000.0
 """Requests a second; more than the whole load, so that no request is rejected for its tenant's quota."""
 CONNECT_TIMEOUT_NS = 150_000_000
 """Nanoseconds; shorter than the shortest latency objective, so that a retry is still useful."""
-CONNECTION_IDLE_NS = 6 * SECOND_NS
+CONNECTION_IDLE_TIMEOUT_NS = 6 * SECOND_NS
 """Nanoseconds; short enough for idle connections to be closed during a soak."""
 MAX_RETRY_AFTER_NS = SECOND_NS
 """Nanoseconds; the longest time after which a rejected client is asked to retry."""
 RESPONSE_SLACK_NS = 20_000_000
 """Nanoseconds; part of the settings format, but the sidecar does not read it."""
-POLL_WINDOW_NS = 3 * SECOND_NS
+MAX_POLL_INTERVAL_NS = 3 * SECOND_NS
 """Nanoseconds within which sidecars that poll discovery have to do so again."""
-COST_DEDUCTIONS = {"Connection": 0.06, "CrossZone": 0.016, "Handshake": 0.06, "Waste": 0.08}
+ATTEMPT_PRICES = {"Connection": 0.06, "CrossZone": 0.016, "Handshake": 0.06, "Waste": 0.08}
 """Cost of a connection, a request across zones, a handshake and a wasted attempt, in request values."""
-NOT_IDEMPOTENT_PRIORITY = 5.0
+NOT_IDEMPOTENT_PRIORITY_WEIGHT = 5.0
 """Priority weight of requests that must not be repeated: a failure of these costs most."""
-DEFAULT_PRIORITY = 3.0
+DEFAULT_PRIORITY_WEIGHT = 3.0
 """Priority weight of all other requests."""
 
 
@@ -34,12 +34,12 @@
     return {
         "Azs": list(ZONES),
         "Kinds": ["kind"],
-        "Categories": [_category(request_class) for request_class in deployment.request_classes],
-        "Orgs": [_organization(tenant) for tenant in TENANTS],
-        "Limits": _limits(deployment),
-        "Rules": _rules(deployment),
+        "Categories": [_request_class_settings(request_class) for request_class in deployment.request_classes],
+        "Orgs": [_tenant_settings(tenant) for tenant in TENANTS],
+        "Limits": _limit_settings(deployment),
+        "Rules": _rule_settings(deployment),
         "Discovery": "on_request" if deployment.is_discovery_polled else "pushed",
-        "Deductions": COST_DEDUCTIONS,
+        "Deductions": ATTEMPT_PRICES,
         "Extra": {"WarmKeys": True},
         "NInstances": deployment.sidecar_count,
         "Position": position,
@@ -47,11 +47,11 @@
     }
 
 
-def _organization(tenant: str) -> dict[str, Any]:
-    return {"Name": tenant, "Portion": TENANT_PORTION, "QuotaPerS": TENANT_QUOTA_PER_SECOND}
+def _tenant_settings(tenant: str) -> dict[str, Any]:
+    return {"Name": tenant, "Portion": TENANT_CAPACITY_SHARE, "QuotaPerS": TENANT_QUOTA_PER_SECOND}
 
 
-def _limits(deployment: Deployment) -> dict[str, Any]:
+def _limit_settings(deployment: Deployment) -> dict[str, Any]:
     return {
         "MaxAttempts": deployment.max_attempts,
         "Cancel": True,
@@ -59,15 +59,15 @@
         "RetryAfter": True,
         "MaxRetryAfterNs": MAX_RETRY_AFTER_NS,
         "ConnectTimeoutNs": CONNECT_TIMEOUT_NS,
-        "ConnIdleNs": CONNECTION_IDLE_NS,
+        "ConnIdleNs": CONNECTION_IDLE_TIMEOUT_NS,
         "ParallelTries": False,
     }
 
 
-def _rules(deployment: Deployment) -> dict[str, Any]:
+def _rule_settings(deployment: Deployment) -> dict[str, Any]:
     return {
         "AnswerSlackNs": RESPONSE_SLACK_NS,
-        "AskWithinNs": POLL_WINDOW_NS,
+        "AskWithinNs": MAX_POLL_INTERVAL_NS,
         "DrainGraceNs": _nanoseconds(deployment.drain_grace_seconds),
         "ColdFrom": deployment.initial_capacity_share,
         "ColdNs": _nanoseconds(deployment.warm_up_seconds),
@@ -76,14 +76,14 @@
     }
 
 
-def _category(request_class: RequestClass) -> dict[str, Any]:
-    is_repeatable = request_class.idempotency != Idempotency.NOT_IDEMPOTENT
+def _request_class_settings(request_class: RequestClass) -> dict[str, Any]:
+    is_retryable = request_class.idempotency != Idempotency.NOT_IDEMPOTENT
     return {
         "Name": request_class.name,
         "Effect": request_class.idempotency.value,
         "AimNs": _nanoseconds(request_class.objective_seconds),
         "HardLimitNs": _nanoseconds(request_class.timeout_seconds),
-        "Importance": DEFAULT_PRIORITY if is_repeatable else NOT_IDEMPOTENT_PRIORITY,
+        "Importance": DEFAULT_PRIORITY_WEIGHT if is_retryable else NOT_IDEMPOTENT_PRIORITY_WEIGHT,
         "LateWorth": request_class.late_answer_value,
         "KeyScope": request_class.deduplication_scope.value,
         "WindowNs": _nanoseconds(request_class.deduplication_window_seconds),
