--- a/soak/sidecar/settings_document.py
+++ b/soak/sidecar/settings_document.py
@@ -19,7 +19,7 @@
 """Nanoseconds; the longest time after which a rejected client is asked to retry."""
 RESPONSE_SLACK_NS = 20_000_000
 """Nanoseconds; part of the settings format, but the sidecar does not read it."""
-MAX_POLL_INTERVAL_NS = 3 * SECOND_NS
+POLL_WINDOW_NS = 3 * SECOND_NS
 """Nanoseconds within which sidecars that poll discovery have to do so again."""
 ATTEMPT_PRICES = {"Connection": 0.06, "CrossZone": 0.016, "Handshake": 0.06, "Waste": 0.08}
 """Cost of a connection, a request across zones, a handshake and a wasted attempt, in request values."""
@@ -67,7 +67,7 @@
 def _rule_settings(deployment: Deployment) -> dict[str, Any]:
     return {
         "AnswerSlackNs": RESPONSE_SLACK_NS,
-        "AskWithinNs": MAX_POLL_INTERVAL_NS,
+        "AskWithinNs": POLL_WINDOW_NS,
         "DrainGraceNs": _nanoseconds(deployment.drain_grace_seconds),
         "ColdFrom": deployment.initial_capacity_share,
         "ColdNs": _nanoseconds(deployment.warm_up_seconds),
