--- a/soak/account_server/__init__.py
+++ b/soak/account_server/__init__.py
@@ -1,1 +1,1 @@
-"""Account servers that stand behind a fault proxy and misbehave on request."""
+"""Stand-ins for account servers. Each is behind a fault proxy and can be made to misbehave."""
--- a/soak/account_server/attempt_recorder.py
+++ b/soak/account_server/attempt_recorder.py
@@ -13,10 +13,13 @@
 
 
 class AttemptRecorder:
-    """Records the attempts of one connection; their times are those at the proxy in front of the server.
+    """Records the attempts of one connection.
+
+    The times of an attempt are those at the proxy in front of the server, where the bytes of the sidecar
+    arrive before the proxy delays them.
 
     Attributes:
-        current: the attempt that is being processed, if there is one.
+        current: the attempt in progress, or None.
     """
 
     def __init__(
@@ -32,11 +35,17 @@
         self._cached_arrivals: ArrivalLog | None = None
 
     def attach(self, transport: asyncio.Transport) -> None:
-        """Set the transport of the connection, by which its record at the proxy is found."""
+        """Set the transport of the connection; its remote port identifies the arrival log at the proxy."""
         self._transport = transport
 
     def start(self, message: bytes, first_byte: int, last_byte: int) -> None:
-        """Record a new attempt from a request and its place on the connection, counted from 1."""
+        """Record a new attempt.
+
+        Args:
+            message: the complete request.
+            first_byte: the position of its first byte on the connection, counted from 1.
+            last_byte: the position of its last byte on the connection, counted from 1.
+        """
         headers = parse_headers(message)
         now_seconds = self._clock.now_seconds()
         arrivals = self._arrivals()
@@ -51,20 +60,23 @@
         self._history.attempts.append(self.current)
 
     def end(self, end: AttemptEnd) -> None:
-        """Record the end of the current attempt, if there is one."""
+        """Record the end of the current attempt, if there is one.
+
+        If the connection ended earlier at the proxy, the attempt ended at that time.
+        """
         if self.current is None:
             return
         end_times_seconds = [self._clock.now_seconds()]
         arrivals = self._arrivals()
         if arrivals is not None:
-            connection_end_times_seconds = (arrivals.closed_at_seconds, arrivals.reset_at_seconds)
-            end_times_seconds += [at_seconds for at_seconds in connection_end_times_seconds if at_seconds is not None]
+            connection_end_seconds = (arrivals.closed_at_seconds, arrivals.reset_at_seconds)
+            end_times_seconds += [at_seconds for at_seconds in connection_end_seconds if at_seconds is not None]
         self.current.end = end
         self.current.ended_at_seconds = min(end_times_seconds)
         self.current = None
 
     def end_with_connection(self) -> None:
-        """Record that the current attempt has ended with its connection, by the sidecar or by a fault."""
+        """Record that the current attempt ended with its connection, which the sidecar or a fault closed."""
         arrivals = self._arrivals()
         was_closed_by_sidecar = (
             arrivals is not None
@@ -74,7 +86,7 @@
         self.end(AttemptEnd.CLOSED_BY_SIDECAR if was_closed_by_sidecar else AttemptEnd.BROKEN_BY_FAULT)
 
     def _arrivals(self) -> ArrivalLog | None:
-        """Return what arrived at the proxy on this connection, if that is known."""
+        """Return the arrival log of this connection, or None if the proxy does not have one."""
         if self._cached_arrivals is None and self._transport is not None:
             peer = self._transport.get_extra_info("peername")
             self._cached_arrivals = self._proxy.arrivals_from(peer[1]) if peer else None
--- a/soak/account_server/connection.py
+++ b/soak/account_server/connection.py
@@ -1,4 +1,4 @@
-"""A connection of an account server: reads requests and responds as the fault of the server says."""
+"""A connection of an account server. It reads requests and responds according to the fault of the server."""
 
 from __future__ import annotations
 
@@ -26,22 +26,25 @@
 from soak.network.sockets import reset_transport
 
 MAX_DUPLICATE_DELAY_SECONDS = 0.003
-"""Seconds after a response at which its duplicate is sent, at most."""
+"""Longest delay, in seconds, between a response and its duplicate."""
 MAX_DUPLICATE_LATENESS_SECONDS = 2 * MAX_DUPLICATE_DELAY_SECONDS
-"""Seconds after which a duplicate is not sent: the soak is late, and only a few milliseconds are allowed."""
+"""Seconds after a response beyond which its duplicate is dropped.
+
+A duplicate is allowed only within a few milliseconds, and the event loop of the soak may be late.
+"""
 MAX_FILLER_BYTES = 6000
-"""Bytes; some responses exceed what one read of a socket returns."""
+"""Upper limit of the filler in bytes; some responses exceed what one read of a socket returns."""
 FILLER = "x"
-"""Makes responses of different sizes; the letter is nowhere else in a response."""
+"""Pads responses to different sizes; the letter occurs nowhere else in a response."""
 DUPLICATE_FILLER = "y"
-"""Replaces the filler in a duplicate response, so that the two can be distinguished."""
+"""Replaces the filler in a duplicate, so that it can be distinguished from the original response."""
 PROBE_PREFIXES = (b"GET /alive", b"GET /metrics/load")
-"""Requests of sidecars themselves, which are no attempts."""
+"""Start of health checks and load probes, which sidecars send themselves and which are not attempts."""
 
 
 @dataclass(slots=True)
 class ServerState:
-    """What an account server shares with its connections."""
+    """The state that an account server shares with its connections."""
 
     name: str
     clock: HarnessClock
@@ -55,7 +58,7 @@
     """The open connections."""
 
     def next_execution_id(self) -> str:
-        """Return an identifier for an execution, which is part of its response."""
+        """Return the identifier of a new execution, which becomes part of the response body."""
         self.execution_count += 1
         return f"{self.name}-{self.execution_count}"
 
@@ -71,13 +74,13 @@
         self._transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport."""
+        """Store the transport and register the connection."""
         self._transport = cast(asyncio.Transport, transport)
         self._attempts.attach(self._transport)
         self._state.connections.add(self)
 
     def data_received(self, data: bytes) -> None:
-        """Serve a request once it is complete."""
+        """Serve each request once it is complete and the one before it is finished."""
         self._buffer += data
         while self._attempts.current is None:
             size_bytes = request_size_bytes(self._buffer)
@@ -90,7 +93,7 @@
             self._serve(message, first_byte)
 
     def connection_lost(self, _error: Exception | None) -> None:
-        """End the attempt that is being processed."""
+        """Unregister the connection and end the attempt in progress."""
         self._state.connections.discard(self)
         self._attempts.end_with_connection()
 
--- a/soak/account_server/http_messages.py
+++ b/soak/account_server/http_messages.py
@@ -1,23 +1,23 @@
-"""The little of HTTP that an account server needs: requests are parsed, responses are built."""
+"""The subset of HTTP that an account server needs to parse requests and build responses."""
 
 from __future__ import annotations
 
 from collections.abc import Mapping
 
 HEAD_END = b"\r\n\r\n"
-"""Ends the head of a message."""
+"""The delimiter between the head and the body of a message."""
 EMPTY_RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
-"""The response to a probe."""
+"""The response to a health check or load probe."""
 ERROR_RESPONSE = b"HTTP/1.1 500 Broken\r\nContent-Length: 0\r\n\r\n"
 """The response of a server that fails after executing the request."""
 REJECTION_RESPONSE = b"HTTP/1.1 503 No\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n"
-"""The response of a server that has not executed the request, and says so."""
+"""The response of a server that rejects a request; `Srv-Declined` states that it was not executed."""
 GARBAGE_RESPONSE = b"HTTP/9 garbage\x00\r\n"
-"""Bytes that are no valid response."""
+"""Bytes that are not a valid HTTP response."""
 
 
 def request_size_bytes(data: bytes) -> int | None:
-    """Return the size of the first request in bytes, or None if its head is not complete."""
+    """Return the size of the first request in bytes, or None if its head is incomplete."""
     head_end = data.find(HEAD_END)
     if head_end < 0:
         return None
@@ -27,17 +27,17 @@
 
 
 def parse_headers(message: bytes) -> Mapping[str, str]:
-    """Return the header fields of a message, their names in lower case."""
+    """Return the header fields of a message, with their names in lower case."""
     head = message.partition(HEAD_END)[0].decode("latin-1")
     fields = (line.partition(":") for line in head.split("\r\n")[1:])
     return {name.strip().lower(): value.strip() for name, _, value in fields}
 
 
 def success_response(body: bytes) -> bytes:
-    """Return a complete response."""
+    """Return a successful response that states the length of its body."""
     return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)
 
 
 def success_response_without_length(body: bytes) -> bytes:
-    """Return a response that ends with its connection."""
+    """Return a successful response without a length; its body ends when the connection is closed."""
     return b"HTTP/1.1 200 OK\r\n\r\n" + body
--- a/soak/account_server/server.py
+++ b/soak/account_server/server.py
@@ -1,4 +1,4 @@
-"""An account server with its proxy; it can be stopped and started again, as another process."""
+"""An account server with its proxy. It can be stopped and started again, as if its process were replaced."""
 
 from __future__ import annotations
 
@@ -17,15 +17,15 @@
 from soak.network.sockets import Address
 
 SLOW_SERVICE_TIME_FACTOR = 8.0
-"""Factor by which a slow server takes longer."""
+"""Factor by which a slow server takes longer for each request."""
 LISTEN_HOST = "127.0.0.1"
-"""Only the proxy connects to it."""
+"""The host at which the server listens; only its proxy connects to it."""
 NANOSECONDS_PER_MILLISECOND = 1_000_000
 
 
 @dataclass(frozen=True, slots=True)
 class ServerIdentity:
-    """What the endpoint list says of a server."""
+    """The properties of a server that the endpoint list contains and that do not change."""
 
     name: str
     zone: str
@@ -48,7 +48,7 @@
         self.identity = identity
         self.proxy = FaultProxy(clock, random, identity.host)
         self.started_at_ms = 0
-        """The start time in the endpoint list, in milliseconds since the Unix epoch; 0: long ago."""
+        """The start time in the endpoint list, in milliseconds since the Unix epoch; 0 if it was long ago."""
         self._deployment = deployment
         self._clock = clock
         self._history = history
@@ -61,12 +61,12 @@
 
     @property
     def is_running(self) -> bool:
-        """Whether the process runs."""
+        """Whether the server is running."""
         return self._incarnation is not None
 
     @property
     def address(self) -> Address:
-        """The address of the proxy, which the endpoint list names."""
+        """The address of the proxy, which the endpoint list contains."""
         return self.proxy.address
 
     @property
@@ -79,7 +79,12 @@
         self._state.fault = fault
 
     async def start(self, needs_warm_up: bool) -> None:
-        """Start the process, either one that warms up or one that has run for long."""
+        """Start the server.
+
+        Args:
+            needs_warm_up: whether the server starts with reduced capacity. Otherwise it has its full
+                capacity, and the endpoint list shows that it started long ago.
+        """
         loop = asyncio.get_running_loop()
         self._listener = await loop.create_server(self._make_connection, LISTEN_HOST, 0)
         await self.proxy.start(backend=self._listener.sockets[0].getsockname()[:2])
@@ -98,7 +103,7 @@
         self._history.servers.append(self._incarnation)
 
     def stop(self) -> None:
-        """End the process: its connections are reset and new ones rejected."""
+        """Stop the server as a crash would: its connections are reset and new ones are refused."""
         self.proxy.stop()
         if self._listener is not None:
             self._listener.close()
@@ -115,7 +120,7 @@
             self._incarnation.healthy_since_seconds = self._clock.now_seconds()
 
     def _draw_service_seconds(self) -> float:
-        """Draw how long one request takes on one core now."""
+        """Draw the seconds that a request takes on one core if its processing starts now."""
         mean_seconds = CORES / self._deployment.server_requests_per_second
         if self._incarnation is not None and self._incarnation.needs_warm_up:
             age_seconds = self._clock.now_seconds() - self._incarnation.started_at_seconds
--- a/soak/account_server/server_fault.py
+++ b/soak/account_server/server_fault.py
@@ -1,4 +1,4 @@
-"""How an account server misbehaves."""
+"""The faults of account servers."""
 
 from __future__ import annotations
 
@@ -6,7 +6,10 @@
 
 
 class ServerFault(StrEnum):
-    """How an account server misbehaves. The strength of a planned fault selects one by their order."""
+    """How an account server misbehaves.
+
+    The strength of a planned fault selects a member by its position, so a seed depends on their order.
+    """
 
     NONE = "none"
     HANG = "hangs"
--- a/soak/account_server/work_queue.py
+++ b/soak/account_server/work_queue.py
@@ -7,14 +7,14 @@
 from collections.abc import Callable
 
 CORES = 2
-"""Requests that a server processes at the same time."""
+"""Number of requests that a server processes at the same time."""
 
 
 class WorkQueue:
-    """The requests that a server has to process, on a few cores.
+    """The queue of the requests that a server has to process, each of which occupies one core.
 
     Args:
-        draw_service_seconds: draws how long a request takes that starts now.
+        draw_service_seconds: draws the seconds that a request takes if its processing starts now.
     """
 
     def __init__(self, draw_service_seconds: Callable[[], float]) -> None:
--- a/soak/clients/__init__.py
+++ b/soak/clients/__init__.py
@@ -1,1 +1,4 @@
-"""The clients of the sidecars, in open loop; some of them misbehave."""
+"""The clients of the sidecars, some of which misbehave.
+
+They form an open loop: new requests arrive at random times, whether earlier ones have had a response or not.
+"""
--- a/soak/clients/behaviour.py
+++ b/soak/clients/behaviour.py
@@ -1,4 +1,4 @@
-"""What clients do, and how often."""
+"""The behaviours of clients and their frequencies."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Behaviour(StrEnum):
-    """What a client does with its request. The load draws from them by their order in a profile."""
+    """What a client does with its request. A seed depends on the order of the behaviours in a profile."""
 
     WAITS = "waits for the response"
     DISCONNECTS = "closes the connection before the response"
@@ -28,22 +28,22 @@
     Behaviour.SENDS_NOTHING,
     Behaviour.FLOODS,
 )
-"""Those of clients that send no valid request."""
+"""The behaviours of clients that send no valid request."""
 
 
 @dataclass(slots=True)
 class LoadProfile:
-    """How often clients show each behaviour; faults change it for a while."""
+    """The weights with which behaviours are drawn; faults change them temporarily."""
 
     weights: dict[Behaviour, float]
 
     def draw(self, random: Random) -> Behaviour:
-        """Draw what one client does."""
+        """Draw the behaviour of one client."""
         return random.choices(list(self.weights), list(self.weights.values()))[0]
 
 
 def default_profile() -> LoadProfile:
-    """Return the profile of clients without a fault."""
+    """Return the profile that applies while no fault affects the clients."""
     return LoadProfile(
         {
             Behaviour.WAITS: 80.0,
--- a/soak/clients/connection.py
+++ b/soak/clients/connection.py
@@ -1,4 +1,4 @@
-"""A client's connection to a sidecar: writes requests and matches responses to them in order."""
+"""A client's connection to a sidecar. It writes requests and matches responses to them in order."""
 
 from __future__ import annotations
 
@@ -13,29 +13,29 @@
 from soak.network.sockets import Address, reset_transport
 
 FIRST_BYTES_LENGTH = 64
-"""Bytes of what a sidecar sends first that are kept: enough for a status line."""
+"""Number of bytes that are kept of the first data from a sidecar; enough for a status line."""
 
 
 @dataclass(slots=True)
 class _PendingRequest:
-    """A request that waits for its response on a connection."""
+    """A request whose response is pending on a connection."""
 
     request: ClientRequest
     completion: asyncio.Future[None]
 
     def finish(self) -> None:
-        """Wake up whoever waits for the outcome."""
+        """Wake up the client that waits for the outcome."""
         if not self.completion.done():
             self.completion.set_result(None)
 
 
 class ClientConnection(asyncio.Protocol):
-    """One connection; the outcome of each request is recorded in it.
+    """One connection; the outcome of each request is recorded in its `ClientRequest`.
 
     Attributes:
-        idle_since_seconds: when the last response arrived, or the connection was made.
-        request_count: how many requests were written.
-        is_open: whether neither side has ended the connection.
+        idle_since_seconds: when the last response arrived, or the connection was established if none has.
+        request_count: the number of requests written.
+        is_open: whether neither side has closed the connection or announced its close.
         first_bytes: the first bytes that the sidecar sent.
     """
 
@@ -52,14 +52,18 @@
 
     @classmethod
     async def open(cls, address: Address, clock: HarnessClock, timeout_seconds: float) -> ClientConnection:
-        """Connect. Raises OSError, also for a timeout."""
+        """Connect to a sidecar.
+
+        Raises:
+            OSError: the connection failed or timed out.
+        """
         loop = asyncio.get_running_loop()
         async with asyncio.timeout(timeout_seconds):
             _, protocol = await loop.create_connection(lambda: cls(clock), *address)
         return protocol
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport."""
+        """Store the transport."""
         self._transport = cast(asyncio.Transport, transport)
         self.is_open = True
 
@@ -88,12 +92,12 @@
             self._lost.set_result(None)
 
     def write(self, data: bytes) -> None:
-        """Write bytes that do not complete a request."""
+        """Write bytes that do not complete a request; `send` writes those that do."""
         if self._transport is not None and not self._transport.is_closing():
             self._transport.write(data)
 
     def send(self, request: ClientRequest, last_bytes: bytes) -> asyncio.Future[None]:
-        """Write the last bytes of a request; the future is done once its outcome is known."""
+        """Write the last bytes of a request and return a future that is done once the outcome is known."""
         completion: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         request.is_first_on_connection = not self.request_count
         request.connection_idle_seconds = self._clock.now_seconds() - self.idle_since_seconds
@@ -105,24 +109,23 @@
         self.write(last_bytes)
         request.sent_at_seconds = self._clock.now_seconds()
         if not self.is_open:
-            self.disconnect(
-                by_reset=False
-            )  # it ended while the request was being written: nobody received it
+            # The connection ended while the request was being written, so nobody received the request.
+            self.disconnect(by_reset=False)
         return completion
 
     def disconnect(self, by_reset: bool) -> None:
-        """Close the connection as a client that does not wait for its responses."""
+        """Close the connection for a client that does not wait for its responses any longer."""
         now_seconds = self._clock.now_seconds()
         for pending in self._pending:
             pending.request.disconnected_at_seconds = now_seconds
         self._close(by_reset)
 
     def close_after_timeout(self) -> None:
-        """Close the connection as a client whose requests have timed out: their responses are missing."""
+        """Close the connection after its requests have timed out; their responses count as missing."""
         self._close(by_reset=False)
 
     async def wait_until_lost(self, timeout_seconds: float) -> bool:
-        """Wait for the end of the connection; return False if it does not come in this time."""
+        """Wait until the connection has ended; return False if it has not ended within this time."""
         done, _ = await asyncio.wait((self._lost,), timeout=timeout_seconds)
         return bool(done)
 
--- a/soak/clients/connection_pool.py
+++ b/soak/clients/connection_pool.py
@@ -9,13 +9,13 @@
 from soak.sidecar.process import SidecarProcess
 
 CONNECT_TIMEOUT_SECONDS = 1.0
-"""Seconds; a client then gives up, as one of a service under load does."""
+"""Seconds after which a client gives up connecting, as clients of a service under load do."""
 NEW_CONNECTIONS_AFTER_STOP_SECONDS = 0.3
-"""Seconds after SIGTERM in which clients still connect, as they learn of a shutdown late."""
+"""Seconds after SIGTERM in which clients still connect, because they learn of a shutdown late."""
 MAX_IDLE_CONNECTIONS = 20
-"""Idle connections that are reused for later requests."""
+"""Number of idle connections that are kept for later requests."""
 RESET_PROBABILITY = 0.3
-"""Probability that a client that disconnects does so by a reset."""
+"""Probability that a client resets its connection when all clients disconnect; otherwise it closes it."""
 
 
 class ConnectionPool:
@@ -29,7 +29,7 @@
         self._idle: list[ClientConnection] = []
 
     async def acquire(self) -> ClientConnection | None:
-        """Return an idle connection, or else a new one; None if the sidecar accepts none."""
+        """Return an idle connection, or a new one if none is idle; None if that cannot be established."""
         while self._idle:
             connection = self._idle.pop(self._random.randrange(len(self._idle)))
             if connection.is_open:
@@ -38,7 +38,7 @@
         return await self.connect()
 
     async def connect(self) -> ClientConnection | None:
-        """Return a new connection, or None if the sidecar accepts none."""
+        """Return a new connection, or None if it cannot be established."""
         if not self._may_connect():
             return None
         try:
@@ -51,18 +51,18 @@
         return connection
 
     def release(self, connection: ClientConnection) -> None:
-        """Keep a connection for a later request if it is open and there is room; else forget it."""
+        """Keep a connection for later requests, or discard it if it is closed or enough others are idle."""
         if connection.is_open and len(self._idle) < MAX_IDLE_CONNECTIONS:
             self._idle.append(connection)
         else:
             self._open.discard(connection)
 
     def discard(self, connection: ClientConnection) -> None:
-        """Forget a connection."""
+        """Remove a connection from the pool."""
         self._open.discard(connection)
 
     def disconnect_all(self) -> None:
-        """Let every client disconnect, whether it waits for a response or not."""
+        """Disconnect all clients, including those with a pending response."""
         for connection in list(self._open):
             connection.disconnect(by_reset=self._random.random() < RESET_PROBABILITY)
         self._open.clear()
--- a/soak/clients/load.py
+++ b/soak/clients/load.py
@@ -1,4 +1,4 @@
-"""The load on one sidecar: clients in open loop, some of which misbehave."""
+"""The load on one sidecar: clients that start at random times, some of which misbehave."""
 
 from __future__ import annotations
 
@@ -17,28 +17,28 @@
 from soak.sidecar.process import SidecarProcess
 
 RESPONSE_GRACE_SECONDS = 0.55
-"""Seconds for which clients wait beyond their deadline, to distinguish late responses from missing ones."""
+"""Seconds that clients wait beyond their deadline, to distinguish late responses from missing ones."""
 KEEP_ALIVE_RACE_SECONDS = 0.05
-"""Seconds. A client retries a request whose idle connection ended this soon after it was written."""
+"""Seconds. A client retries a request if its idle connection ended less than this after it was sent."""
 MAX_SLOW_WRITE_SECONDS = 0.3
-"""Seconds that a client takes at most to write a request in pieces."""
+"""Longest time, in seconds, that a client takes to write a request in pieces."""
 SLOW_WRITE_CUT_COUNT = 3
-"""Cuts of a request that is written in pieces."""
+"""Number of positions at which a request is cut to be written in pieces."""
 MIN_PIPELINED_REQUESTS = 2
-"""Requests; from two on the second waits for the response to the first."""
+"""Smallest pipeline, in requests; with two, the second waits for the response to the first."""
 MAX_PIPELINED_REQUESTS = 24
-"""Requests; more than a sidecar processes at once on one connection."""
+"""Largest pipeline, in requests; more than a sidecar processes at once on one connection."""
 BURST_SIZES = (1, 1, 1, 1, 1, 1, 2, 2, 4, 6)
-"""Requests that arrive at once, drawn with equal chances: most alone, some in bursts."""
+"""Numbers of requests that arrive at once, drawn with equal probability; most requests arrive alone."""
 MEAN_BURST_SIZE = sum(BURST_SIZES) / len(BURST_SIZES)
-"""Requests of a burst on average."""
+"""Mean number of requests in a burst."""
 
 
 class ClientLoad:
     """The clients of one sidecar.
 
     Attributes:
-        profile: what clients do, and how often.
+        profile: the weights with which the behaviours of clients are drawn.
     """
 
     def __init__(
@@ -59,7 +59,7 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def run(self) -> None:
-        """Start clients at random times until cancelled; those that have started then go on."""
+        """Start clients at random times until cancelled; clients that have started continue after that."""
         bursts_per_second = self._requests_per_second / MEAN_BURST_SIZE
         while True:
             await asyncio.sleep(self._random.expovariate(bursts_per_second))
@@ -69,13 +69,13 @@
                 task.add_done_callback(self._tasks.discard)
 
     async def finish(self) -> None:
-        """Wait for the clients that have started, and close their connections."""
+        """Wait until all clients that have started are done, and close their connections."""
         if self._tasks:
             await asyncio.wait(set(self._tasks))
         self._pool.close_all()
 
     def disconnect_all(self) -> None:
-        """Let every client disconnect at once."""
+        """Disconnect all clients at once."""
         self._pool.disconnect_all()
 
     async def _run_client(self, behaviour: Behaviour) -> None:
@@ -116,7 +116,7 @@
         completion: asyncio.Future[None],
         behaviour: Behaviour,
     ) -> None:
-        """Disconnect at a random time before the deadline unless the response comes first."""
+        """Disconnect at a random time before the deadline, unless the response arrives first."""
         disconnect_delay_seconds = request.timeout_seconds * self._random.random() ** 2
         await asyncio.wait((completion,), timeout=disconnect_delay_seconds)
         if not completion.done():
@@ -164,7 +164,7 @@
 
 
 def _is_keep_alive_race(request: ClientRequest) -> bool:
-    """Return whether the request met the close of an idle connection, so that the client may retry it."""
+    """Return whether an idle connection was closed while the request was sent, so that a retry is allowed."""
     if request.is_first_on_connection:
         return False
     ended_at_seconds = (
--- a/soak/clients/malformed_client.py
+++ b/soak/clients/malformed_client.py
@@ -12,17 +12,17 @@
 from soak.history.history import History
 
 OBSERVATION_SECONDS = 4.0
-"""Seconds for which such a client waits for the sidecar to close: longer than the sidecar may take."""
+"""Seconds that a client waits for the sidecar to close the connection; longer than the sidecar may take."""
 MAX_GARBAGE_BYTES = 200
-"""Bytes; less than a sidecar buffers of a request's head."""
+"""Most bytes of garbage that a client sends; less than a sidecar buffers of a request's head."""
 FLOOD_BYTES = 200_000
-"""Bytes; more than a sidecar buffers of a request's head."""
+"""Bytes of garbage that a flooding client sends; more than a sidecar buffers of a request's head."""
 FLOOD_RESET_PROBABILITY = 0.5
-"""Probability that a client that floods disconnects by a reset."""
+"""Probability that a flooding client resets its connection; otherwise it closes it."""
 
 
 class MalformedClientRunner:
-    """Runs clients that send no valid request to one sidecar, and records what the sidecar does."""
+    """Runs clients that send no valid request to one sidecar, and records the reaction of the sidecar."""
 
     def __init__(self, sidecar: str, clock: HarnessClock, history: History, random: Random) -> None:
         self._sidecar = sidecar
@@ -36,7 +36,7 @@
         Args:
             connection: a new connection, which is closed afterwards.
             behaviour: what the client does.
-            valid_request: what a client sends that stops in the middle of a request.
+            valid_request: the request of which a client that stops in the middle sends the first part.
         """
         peer = MalformedPeer(self._sidecar, behaviour.value, self._clock.now_seconds())
         if behaviour == Behaviour.FLOODS:
@@ -51,7 +51,7 @@
         await self._observe(connection, peer)
 
     async def _observe(self, connection: ClientConnection, peer: MalformedPeer) -> None:
-        """Record whether the sidecar responds or closes."""
+        """Record whether the sidecar responds or closes the connection."""
         self._history.malformed_peers.append(peer)
         if await connection.wait_until_lost(OBSERVATION_SECONDS):
             peer.ended_at_seconds = self._clock.now_seconds()
--- a/soak/clients/request_factory.py
+++ b/soak/clients/request_factory.py
@@ -9,11 +9,11 @@
 from soak.history.events import ClientRequest
 
 RESOURCE_KEY_COUNT = 200
-"""Distinct resource keys; low ones are drawn more often."""
+"""Number of distinct resource keys; low ones are drawn more often."""
 MAX_BODY_BYTES = 20_000
-"""Bytes; the larger bodies need several reads."""
+"""Upper limit of a request's body, in bytes; the larger bodies need several reads."""
 MIN_TIMEOUT_SHARE = 0.7
-"""The shortest timeout that a client sets, as a share of the one of its request class."""
+"""The shortest timeout that a client sets, as a share of the timeout of its request class."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -25,7 +25,7 @@
 
 
 class RequestFactory:
-    """Draws requests; their identifiers carry the name of the sidecar and are unique."""
+    """Draws requests. Their identifiers contain the name of the sidecar and are unique."""
 
     def __init__(self, sidecar: str, deployment: Deployment, random: Random) -> None:
         self._sidecar = sidecar
@@ -34,7 +34,7 @@
         self._request_count = 0
 
     def make(self, requests_close: bool = False) -> PreparedRequest:
-        """Draw a request; with `requests_close` it asks for its connection to be closed afterwards."""
+        """Draw a request; with `requests_close` it asks that the connection be closed after the response."""
         request_classes = self._deployment.request_classes
         shares = [request_class.share for request_class in request_classes]
         request_class = self._random.choices(request_classes, shares)[0]
@@ -51,7 +51,7 @@
         return PreparedRequest(request, self._encode(request, request_class, requests_close))
 
     def _encode(self, request: ClientRequest, request_class: RequestClass, requests_close: bool) -> bytes:
-        """Return the bytes of a request; the order of the draws is part of a seed."""
+        """Return the bytes of a request. A seed depends on the order of the random draws."""
         has_body = request_class.idempotency != Idempotency.IDEMPOTENT
         body = self._random.randbytes(self._random.randrange(MAX_BODY_BYTES)) if has_body else b""
         key = int(RESOURCE_KEY_COUNT * self._random.random() ** 2)
--- a/soak/clients/response_parser.py
+++ b/soak/clients/response_parser.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 MIN_FINAL_STATUS = 200
-"""Responses with a lower status are interim; the final one follows."""
+"""Lowest status of a final response. Responses with a lower status are interim and a final one follows."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -20,7 +20,7 @@
     """Takes bytes as they arrive and returns complete responses in their order.
 
     Attributes:
-        announces_close: whether a response has said that the connection ends after it.
+        announces_close: whether a response has announced that the connection is closed after it.
     """
 
     def __init__(self) -> None:
@@ -54,7 +54,7 @@
         return Response(status, rest[:body_bytes])
 
     def _parse_headers(self, lines: list[bytes]) -> int:
-        """Return the length of the body in bytes, and note whether the connection ends."""
+        """Return the length of the body in bytes, and set `announces_close` if the headers say so."""
         body_bytes = 0
         for line in lines:
             name, _, value = line.lower().partition(b":")
--- a/soak/discovery/agent.py
+++ b/soak/discovery/agent.py
@@ -1,4 +1,4 @@
-"""The discovery agent of one sidecar; its address changes with a new configuration."""
+"""The discovery agent of one sidecar. A new configuration can change its address."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 from soak.network.sockets import Address
 
 OLD_ADDRESS_CLOSE_DELAY_SECONDS = 1.5
-"""Seconds after which an address that the agent has left closes its connections."""
+"""Seconds after a change of address at which the connections to the old address are closed."""
 
 
 class DiscoveryAgent:
-    """Serves the endpoint list to one sidecar, and tracks what the sidecar has to know."""
+    """Serves the endpoint list to one sidecar, and tracks which changes the sidecar has to know."""
 
     def __init__(
         self,
@@ -43,11 +43,11 @@
 
     @property
     def is_down(self) -> bool:
-        """Whether the agent rejects connections now."""
+        """Whether the agent refuses connections now."""
         return self._outage_count > 0
 
     def known_endpoints(self) -> dict[str, Any]:
-        """Return the complete list in discovery's form, as a configuration has it."""
+        """Return the complete list in discovery's format, to be used in a configuration."""
         return self._directory.snapshot()
 
     async def start(self) -> None:
@@ -56,9 +56,9 @@
         self.address = self._listener.sockets[0].getsockname()[:2]
 
     async def listen_at_new_address(self) -> None:
-        """Listen at a new address; the old one takes no new connections and closes the open ones later.
+        """Listen at a new address; the old one accepts no connections and its open ones are closed later.
 
-        To be called only while the agent is not down.
+        The agent must not be down.
         """
         self._deadlines.extend_for_new_address()
         old_listener = self._listener
@@ -69,7 +69,7 @@
         asyncio.get_running_loop().call_later(OLD_ADDRESS_CLOSE_DELAY_SECONDS, _close_all, old_connections)
 
     def stop_watch_responses(self) -> None:
-        """Never respond again on the open connections; new ones are served."""
+        """Stop responding on the open connections; new ones are served."""
         self._deadlines.extend_for_unresponsive_watch()
         for connection in self._state.connections:
             connection.stop_responding()
@@ -80,7 +80,7 @@
             connection.reset()
 
     def go_down(self) -> None:
-        """Reject connections until `recover` has been called as often."""
+        """Refuse connections until `recover` has been called as often as `go_down`."""
         self._outage_count += 1
         if self._listener is not None:
             self._listener.close()
@@ -88,7 +88,7 @@
         self.reset_connections()
 
     async def recover(self) -> None:
-        """Listen at the same address again; the time to learn of pending changes starts now."""
+        """End one outage. After the last one, listen at the same address and restart the deadlines."""
         self._outage_count -= 1
         if self.is_down:
             return
@@ -96,12 +96,12 @@
         self._deadlines.restart()
 
     def record_process_start(self) -> None:
-        """Record that a new process has to know what the agent knows, from its first moment."""
+        """Record that a new process has to know all draining and removed servers from its start."""
         for server, health in self._directory.draining_or_removed_servers().items():
             self._deadlines.add(server, health)
 
     def record_overdue(self) -> None:
-        """Record the changes that the sidecar has to know by now though they were never sent."""
+        """Record the changes that the sidecar has to know by now although they were never sent."""
         if not self.is_down:
             self._deadlines.record_overdue()
 
--- a/soak/discovery/connection.py
+++ b/soak/discovery/connection.py
@@ -15,32 +15,32 @@
 from soak.network.sockets import reset_transport
 
 COMPLETE_LIST_PROBABILITY = 0.2
-"""Probability that a watch is answered with the complete list, from which draining servers are omitted."""
+"""Probability that a watch gets the complete list, without the draining servers, instead of the changes."""
 INDENTED_JSON_PROBABILITY = 0.2
-"""Probability of a response with line breaks, which arrives in more pieces."""
+"""Probability that the JSON of a response is indented; the response then arrives in more pieces."""
 MILLISECONDS_PER_SECOND = 1000
 
 
 @dataclass(frozen=True, slots=True)
 class AgentState:
-    """What a discovery agent shares with its connections."""
+    """The state that a discovery agent shares with its connections."""
 
     directory: EndpointDirectory
     random: Random
     on_list_sent: Callable[[], None]
-    """Called when the sidecar has been sent the list as it is now."""
+    """Called when the current list has been sent to the sidecar."""
     connections: set[AgentConnection] = field(default_factory=set)
     """The open connections."""
 
 
 @dataclass(frozen=True, slots=True)
 class _ListQuery:
-    """A call for the endpoint list."""
+    """The parameters of a call for the endpoint list."""
 
     since_version: int
-    """The version that the sidecar has; 0: none."""
+    """The version of the list that the sidecar has; 0 if it has none."""
     long_poll_timeout_seconds: float
-    """How long the call may wait for a change."""
+    """The timeout of the long poll: how long the call may wait for a change."""
 
     @classmethod
     def parse(cls, target: str) -> _ListQuery:
@@ -62,7 +62,7 @@
         self._is_unresponsive = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport."""
+        """Store the transport and register the connection."""
         self._transport = cast(asyncio.Transport, transport)
         self._state.connections.add(self)
 
@@ -77,13 +77,13 @@
         self._task = asyncio.get_running_loop().create_task(self._respond(_ListQuery.parse(target)))
 
     def connection_lost(self, _error: Exception | None) -> None:
-        """Cancel the call that is in progress."""
+        """Unregister the connection and cancel the call in progress."""
         self._state.connections.discard(self)
         if self._task is not None:
             self._task.cancel()
 
     def stop_responding(self) -> None:
-        """Respond to no further call."""
+        """Send no further response."""
         self._is_unresponsive = True
 
     def close(self) -> None:
@@ -111,7 +111,7 @@
             self._state.on_list_sent()
 
     def _draw_document(self, since_version: int) -> dict[str, Any]:
-        """Return the complete list or the changes since a version."""
+        """Return the complete list or the changes since a version, in discovery's format."""
         directory = self._state.directory
         is_first_call = not since_version
         is_complete = is_first_call or self._state.random.random() < COMPLETE_LIST_PROBABILITY
--- a/soak/discovery/endpoint_directory.py
+++ b/soak/discovery/endpoint_directory.py
@@ -14,17 +14,19 @@
 """Called with the name of a server and its new health."""
 
 FULL_CAPACITY_SHARE = 1.0
-"""Each server reports all of its capacity for this deployment."""
+"""The share of its capacity that each server provides to this deployment: all of it."""
 
 
 @dataclass(slots=True)
 class _EndpointEntry:
+    """A server, its health and the version of the list in which its entry last changed."""
+
     server: AccountServer
     health: EndpointHealth
     version: int
 
     def to_json(self) -> dict[str, Any]:
-        """Return the entry in discovery's form."""
+        """Return the entry in discovery's format."""
         identity = self.server.identity
         host, port = self.server.address
         return {
@@ -45,12 +47,12 @@
     def __init__(self) -> None:
         self.version = 1
         self.changed = asyncio.Event()
-        """Set at the next change; each change has an event of its own."""
+        """Set at the next change, and then replaced by a new event for the change after it."""
         self._entries: dict[str, _EndpointEntry] = {}
         self._listeners: list[ChangeListener] = []
 
     def add_listener(self, listener: ChangeListener) -> None:
-        """Call the listener at each change, before the watches learn of it."""
+        """Register a listener, which is called at each change before the watches are woken up."""
         self._listeners.append(listener)
 
     def set_health(self, server: AccountServer, health: EndpointHealth) -> None:
@@ -63,19 +65,19 @@
         self.changed = asyncio.Event()
 
     def draining_or_removed_servers(self) -> dict[str, EndpointHealth]:
-        """Return the servers that drain or are removed."""
+        """Return the health of the servers that are draining or removed, by name."""
         return {
             name: entry.health for name, entry in self._entries.items() if entry.health != EndpointHealth.UP
         }
 
     def snapshot(self, omits_draining: bool = False) -> dict[str, Any]:
-        """Return the complete list in discovery's form."""
+        """Return the complete list in discovery's format."""
         included_health = {EndpointHealth.UP} if omits_draining else {EndpointHealth.UP, EndpointHealth.DRAINING}
         entries = (entry for entry in self._entries.values() if entry.health in included_health)
         return self._document(entries, is_complete=True)
 
     def changes_since(self, version: int) -> dict[str, Any]:
-        """Return the entries that changed after a version, in discovery's form."""
+        """Return the entries that changed after a version, in discovery's format."""
         entries = (entry for entry in self._entries.values() if entry.version > version)
         return self._document(entries, is_complete=False)
 
--- a/soak/discovery/notification_deadlines.py
+++ b/soak/discovery/notification_deadlines.py
@@ -1,4 +1,4 @@
-"""Decides from when on a sidecar has to know a change of the endpoint list."""
+"""Determines the time from which a sidecar has to know a change of the endpoint list."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 from soak.history.history import History
 
 UNRESPONSIVE_WATCH_TIMEOUT_SECONDS = 6.0
-"""Seconds after which a sidecar has to have replaced a watch that stopped responding, or to have polled."""
+"""Seconds within which a sidecar has to replace an unresponsive watch, or to poll discovery."""
 NEW_ADDRESS_TIMEOUT_SECONDS = 4.0
-"""Seconds after a SIGHUP in which a sidecar has to have called the new address of its agent."""
+"""Seconds after a SIGHUP within which a sidecar has to call the new address of its agent."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -20,13 +20,13 @@
 
     health: EndpointHealth
     due_at_seconds: float
-    """When the sidecar has to know it, even if it is never sent."""
+    """When the sidecar has to know the change, even if it is never sent."""
 
 
 class NotificationDeadlines:
     """The changes that one sidecar does not know yet, and when it has to know them.
 
-    With watches, the sidecar has to know what the agent knows immediately; with polling, calls take time.
+    With watches, the sidecar has to know a change as soon as the agent does; with polling, calls take time.
     """
 
     def __init__(self, sidecar: str, is_polled: bool, clock: HarnessClock, history: History) -> None:
@@ -38,11 +38,11 @@
         self._pending: dict[str, _PendingChange] = {}
 
     def extend_for_new_address(self) -> None:
-        """Allow the sidecar the time that it takes to call a new address."""
+        """Extend the deadlines of later changes by the time that it takes to call a new address."""
         self._extend(NEW_ADDRESS_TIMEOUT_SECONDS)
 
     def extend_for_unresponsive_watch(self) -> None:
-        """Allow the sidecar the time that it takes to notice a watch that does not respond."""
+        """Extend the deadlines of later changes by the time that it takes to notice an unresponsive watch."""
         self._extend(UNRESPONSIVE_WATCH_TIMEOUT_SECONDS)
 
     def add(self, server: str, health: EndpointHealth) -> None:
@@ -50,21 +50,21 @@
         self._pending[server] = _PendingChange(health, self._due_at_seconds())
 
     def restart(self) -> None:
-        """Count the time of all pending changes from now on."""
+        """Restart the deadlines of all pending changes from now."""
         due_at_seconds = self._due_at_seconds()
         self._pending = {
             server: _PendingChange(change.health, due_at_seconds) for server, change in self._pending.items()
         }
 
     def record_all(self) -> None:
-        """Record that the sidecar knows all changes from now on."""
+        """Record that the sidecar knows all pending changes from now on."""
         now_seconds = self._clock.now_seconds()
         for server, change in self._pending.items():
             self._record(server, change.health, now_seconds)
         self._pending.clear()
 
     def record_overdue(self) -> None:
-        """Record the changes that the sidecar has to know by now."""
+        """Record the pending changes that are due by now as known to the sidecar."""
         now_seconds = self._clock.now_seconds()
         for server, change in list(self._pending.items()):
             if change.due_at_seconds <= now_seconds:
@@ -75,7 +75,7 @@
         self._earliest_due_at_seconds = max(self._earliest_due_at_seconds, self._clock.now_seconds() + seconds)
 
     def _due_at_seconds(self) -> float:
-        """Return when a change of this moment has to be known at the latest."""
+        """Return the time by which the sidecar has to know a change that is made now."""
         notice_seconds = UNRESPONSIVE_WATCH_TIMEOUT_SECONDS if self._is_polled else 0.0
         return max(self._clock.now_seconds() + notice_seconds, self._earliest_due_at_seconds)
 
--- a/soak/network/arrival_log.py
+++ b/soak/network/arrival_log.py
@@ -1,4 +1,4 @@
-"""Records when the bytes of a connection arrived, so that a server behind a slow proxy knows."""
+"""Records when the bytes of a connection arrived at a proxy, as the server behind it may get them later."""
 
 from __future__ import annotations
 
@@ -7,25 +7,25 @@
 
 @dataclass(slots=True)
 class ArrivalLog:
-    """What arrived from a sidecar on one connection, and how the connection ended."""
+    """When bytes arrived from a sidecar on one connection, and how the connection ended."""
 
     byte_counts: list[int] = field(default_factory=list)
-    """The bytes received so far, after each piece."""
+    """The total number of bytes received after each piece."""
     times_seconds: list[float] = field(default_factory=list)
     """When each piece arrived."""
     closed_at_seconds: float | None = None
     """When the sidecar closed the connection."""
     reset_at_seconds: float | None = None
-    """When the proxy reset it."""
+    """When the proxy reset the connection."""
 
     def record(self, byte_count: int, at_seconds: float) -> None:
-        """Record that so many more bytes have arrived."""
+        """Record the arrival of further bytes."""
         total_bytes = self.byte_counts[-1] if self.byte_counts else 0
         self.byte_counts.append(total_bytes + byte_count)
         self.times_seconds.append(at_seconds)
 
     def time_of_byte_seconds(self, position: int) -> float:
-        """Return when the byte at this position arrived, counted from 1."""
+        """Return when the byte at this position, counted from 1, arrived."""
         for byte_count, at_seconds in zip(self.byte_counts, self.times_seconds, strict=True):
             if byte_count >= position:
                 return at_seconds
--- a/soak/network/fault_proxy.py
+++ b/soak/network/fault_proxy.py
@@ -1,4 +1,4 @@
-"""A TCP proxy in front of an account server that delays, fragments, drops or resets what passes."""
+"""A TCP proxy in front of an account server that delays, fragments or drops data and resets connections."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 
     Args:
         clock: the clock of the soak.
-        random: decides which data is reset, and how long pauses are.
-        host: where to listen. No outgoing connection should use this address, lest it takes the port while
+        random: draws whether a piece of data causes a reset, and the length of pauses.
+        host: where to listen. No outgoing connection should use this host, as it could take the port while
             the proxy is stopped.
     """
 
@@ -29,18 +29,18 @@
         self._listener: asyncio.Server | None = None
 
     def set_mode(self, mode: ProxyMode) -> None:
-        """Change what happens to the connections."""
+        """Set what the proxy does to its connections."""
         self._mode_switch.set(mode)
 
     async def start(self, backend: Address) -> None:
-        """Listen in front of a server: the first time at a free port, later at the same one."""
+        """Listen in front of a server, at a free port the first time and at the same port after that."""
         self._state.backend = backend
         loop = asyncio.get_running_loop()
         self._listener = await loop.create_server(self._make_protocol, *self.address)
         self.address = self._listener.sockets[0].getsockname()[:2]
 
     def stop(self) -> None:
-        """Reject new connections and reset the open ones, as when the process behind crashes."""
+        """Refuse new connections and reset the open ones, as a crash of the server would."""
         if self._listener is not None:
             self._listener.close()
             self._listener = None
@@ -52,7 +52,7 @@
             connection.reset()
 
     def arrivals_from(self, port: int) -> ArrivalLog | None:
-        """Return what arrived on the connection that reaches the server from this port."""
+        """Return the arrival log of the connection that reaches the server from this port, or None."""
         return self._state.arrivals_by_port.get(port)
 
     def _make_protocol(self) -> asyncio.Protocol:
--- a/soak/network/loopback.py
+++ b/soak/network/loopback.py
@@ -1,4 +1,4 @@
-"""Loopback addresses: each listener has a host of its own, so that no outgoing connection takes its port."""
+"""Loopback addresses. Each listener has a host of its own, so that no outgoing connection takes its port."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from soak.network.sockets import Address
 
 HOSTS_PER_SUBNET = 250
-"""Hosts of a /24 network that are used: 1 to 250."""
+"""Number of hosts of a /24 network that are used: 1 to 250."""
 
 
 def sidecar_host(index: int) -> str:
@@ -26,7 +26,7 @@
 
 
 def free_address(host: str) -> Address:
-    """Return a host and a port of it that is free now."""
+    """Return the host with a port that is free now."""
     with socket.socket() as probe:
         probe.bind((host, 0))
         port: int = probe.getsockname()[1]
--- a/soak/network/proxied_connection.py
+++ b/soak/network/proxied_connection.py
@@ -1,4 +1,4 @@
-"""One connection through a fault proxy: two transports, and a pipe in each direction."""
+"""One connection through a fault proxy, which consists of two transports and a pipe in each direction."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 from soak.network.sockets import Address, reset_transport
 
 MAX_PIECE_PAUSE_SECONDS = 0.004
-"""Seconds between two pieces of fragmented data, at most: a request of 20 KB still meets its deadline."""
+"""Longest pause, in seconds, between two pieces of data; a request of 20 KB still meets its deadline."""
 
 
 @dataclass(slots=True)
 class ProxyState:
-    """What a fault proxy shares with its connections."""
+    """The state that a fault proxy shares with its connections."""
 
     clock: HarnessClock
     random: Random
@@ -28,11 +28,11 @@
     connections: set[ProxiedConnection] = field(default_factory=set)
     """The open connections."""
     arrivals_by_port: dict[int, ArrivalLog] = field(default_factory=dict)
-    """What arrived on each connection, by the local port of the transport to the server."""
+    """The arrival log of each connection, by the local port of its transport to the server."""
 
 
 class _Pipe:
-    """One direction of a connection: forwards bytes in order, as the mode of the proxy says."""
+    """One direction of a connection. It forwards bytes in order, according to the mode of the proxy."""
 
     def __init__(self, state: ProxyState, connection: ProxiedConnection) -> None:
         self._state = state
@@ -43,7 +43,7 @@
         self.task = asyncio.get_running_loop().create_task(self._run())
 
     def connect(self, target: asyncio.Transport) -> None:
-        """Start to forward to this transport."""
+        """Start forwarding to this transport."""
         self._target = target
         self._has_target.set()
 
@@ -70,8 +70,8 @@
     async def _delay(self, until_seconds: float) -> None:
         """Wait until a time.
 
-        The delay counts from the arrival of a piece, so pieces keep their distance: a duplicate response does
-        not come later after the first.
+        The delay of a piece counts from its arrival, so the intervals between pieces do not change: the
+        proxy adds nothing to the time between a response and its duplicate.
         """
         delay_seconds = until_seconds - self._state.clock.now_seconds()
         if delay_seconds > 0:
@@ -81,20 +81,20 @@
         size = piece_bytes or len(data)
         for start in range(0, len(data), size):
             if self._target is None or self._target.is_closing():
-                return  # the connection is being closed
+                return  # The connection is being closed.
             self._target.write(data[start : start + size])
             if piece_bytes:
                 await asyncio.sleep(self._state.random.random() * MAX_PIECE_PAUSE_SECONDS)
 
 
 class _SidecarSide(asyncio.Protocol):
-    """The end of a connection that a sidecar has opened."""
+    """The protocol of the transport that a sidecar has opened."""
 
     def __init__(self, connection: ProxiedConnection) -> None:
         self._connection = connection
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport and connect to the server."""
+        """Store the transport and connect to the server."""
         self._connection.on_sidecar_connected(cast(asyncio.Transport, transport))
 
     def data_received(self, data: bytes) -> None:
@@ -102,18 +102,18 @@
         self._connection.on_sidecar_data(data)
 
     def connection_lost(self, _error: Exception | None) -> None:
-        """Forward the end to the server."""
+        """Forward the end of the connection to the server."""
         self._connection.on_sidecar_lost()
 
 
 class _ServerSide(asyncio.Protocol):
-    """The end of a connection that leads to the server."""
+    """The protocol of the transport to the server."""
 
     def __init__(self, connection: ProxiedConnection) -> None:
         self._connection = connection
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport."""
+        """Store the transport."""
         self._connection.on_server_connected(cast(asyncio.Transport, transport))
 
     def data_received(self, data: bytes) -> None:
@@ -121,12 +121,12 @@
         self._connection.on_server_data(data)
 
     def connection_lost(self, _error: Exception | None) -> None:
-        """Forward the end to the sidecar."""
+        """Forward the end of the connection to the sidecar."""
         self._connection.on_server_lost()
 
 
 class ProxiedConnection:
-    """A connection of a sidecar, and the one to the server behind it."""
+    """A connection of a sidecar to the proxy, and the proxy's connection to the server."""
 
     def __init__(self, state: ProxyState) -> None:
         self._state = state
@@ -142,13 +142,13 @@
         return _SidecarSide(self)
 
     def on_sidecar_connected(self, transport: asyncio.Transport) -> None:
-        """Keep the sidecar's transport and connect to the server."""
+        """Store the sidecar's transport and connect to the server."""
         self._sidecar = transport
         self._to_sidecar.connect(transport)
         self._connect_task = asyncio.get_running_loop().create_task(self._connect_server())
 
     def on_server_connected(self, transport: asyncio.Transport) -> None:
-        """Keep the server's transport and forward what has arrived."""
+        """Store the server's transport and forward the data that has arrived."""
         self._server = transport
         local_port = transport.get_extra_info("sockname")[1]
         self._state.arrivals_by_port[local_port] = self._arrivals
@@ -200,7 +200,7 @@
             self.reset()
 
     def _finish(self) -> None:
-        """Cancel all tasks but the one that runs, which ends by itself."""
+        """Cancel all tasks except the current one, which ends by itself, and unregister the connection."""
         for task in (self._to_server.task, self._to_sidecar.task, self._connect_task):
             if task is not None and task is not asyncio.current_task():
                 task.cancel()
--- a/soak/network/proxy_mode.py
+++ b/soak/network/proxy_mode.py
@@ -1,4 +1,4 @@
-"""What a fault proxy does to its connections."""
+"""The modes of a fault proxy."""
 
 from __future__ import annotations
 
@@ -8,22 +8,22 @@
 
 @dataclass(frozen=True, slots=True)
 class ProxyMode:
-    """What a proxy does to its connections; by default it forwards everything at once."""
+    """What a proxy does to its connections; by default it forwards everything immediately."""
 
     delay_seconds: float = 0.0
-    """Delay of each piece of data, in both directions."""
+    """Delay of each piece of data, in each direction."""
     piece_bytes: int = 0
-    """The largest piece that is forwarded at once; 0: no limit."""
+    """The largest piece that is forwarded at once; 0 for no limit."""
     is_black_hole: bool = False
-    """Forwards neither data nor the end of a connection; new connections are accepted."""
+    """Whether neither data nor the end of a connection is forwarded; new connections are accepted."""
     reset_probability: float = 0.0
-    """Probability for each piece of data that its connection is reset instead."""
+    """Probability for each piece of data that the connection is reset instead of forwarding it."""
     accept_delay_seconds: float = 0.0
-    """How long a new connection waits before it is served."""
+    """How long the proxy waits, after accepting a connection, before it connects to the server."""
 
 
 class ProxyModeSwitch:
-    """The present mode of a proxy."""
+    """The current mode of a proxy, with a notification of changes."""
 
     def __init__(self) -> None:
         self._mode = ProxyMode()
@@ -31,11 +31,11 @@
 
     @property
     def mode(self) -> ProxyMode:
-        """What happens to the connections now."""
+        """The current mode."""
         return self._mode
 
     def set(self, mode: ProxyMode) -> None:
-        """Change the mode and wake up whoever waits for a change."""
+        """Change the mode and wake up the tasks that wait for a change."""
         self._mode = mode
         self._changed.set()
         self._changed = asyncio.Event()
--- a/soak/sidecar/__init__.py
+++ b/soak/sidecar/__init__.py
@@ -1,1 +1,1 @@
-"""The sidecars under test: their configuration, their processes and the system calls that fail in them."""
+"""The sidecars under test: their configurations, their processes and the faults of their system calls."""
--- a/soak/sidecar/configuration.py
+++ b/soak/sidecar/configuration.py
@@ -19,7 +19,7 @@
     """Writes the configuration of one sidecar. Its keys are those of the sidecar's configuration format.
 
     Attributes:
-        path: where the file is.
+        path: the path of the file.
     """
 
     def __init__(
@@ -32,10 +32,10 @@
         self._agent = agent
 
     def write(self, start_count: int) -> None:
-        """Write the configuration with the present address of discovery, atomically.
+        """Write the configuration atomically, with the current address of the discovery agent.
 
         Args:
-            start_count: how many processes were started before, including the present one.
+            start_count: the number of processes of the sidecar started so far, including the current one.
         """
         temporary = self.path.with_suffix(".new")
         temporary.write_text(json.dumps(self._document(start_count)))
--- a/soak/sidecar/process.py
+++ b/soak/sidecar/process.py
@@ -1,4 +1,4 @@
-"""One sidecar under test: its processes one after the other, the signals they get and what they use."""
+"""One sidecar under test: its successive processes, the signals they get and the resources they use."""
 
 from __future__ import annotations
 
@@ -27,11 +27,11 @@
 
 
 class SidecarProcess:
-    """A sidecar under its name and address.
+    """A sidecar with a fixed name and address, of which one process runs at a time.
 
     Attributes:
-        incarnation: the process that runs now, or the last one.
-        faults: the system calls that fail in its processes.
+        incarnation: the record of the process that runs now, or of the last one.
+        faults: the faults of the system calls in its processes.
     """
 
     def __init__(
@@ -76,7 +76,7 @@
         return incarnation.stop_requested_at_seconds is not None or incarnation.killed_at_seconds is not None
 
     def write_configuration(self) -> None:
-        """Write the configuration with the present address of discovery."""
+        """Write the configuration with the current address of the discovery agent."""
         self._configuration_file.write(self._start_count)
 
     async def start(self) -> None:
@@ -99,7 +99,7 @@
         self._exit_task = asyncio.create_task(self._record_exit(self._process, self.incarnation, log_offset))
 
     async def wait_until_ready(self, timeout_seconds: float) -> bool:
-        """Wait until the process passes its readiness check; return False if it does not in this time."""
+        """Wait for the process to pass its readiness check; return False if it ends or times out first."""
         incarnation = self.incarnation
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(timeout_seconds):
@@ -111,7 +111,7 @@
         return False
 
     def send_signal(self, number: signal.Signals) -> None:
-        """Send a signal to the process if it runs, and record when it is asked to stop."""
+        """Send a signal to the process if it is running, and record the time of SIGTERM and SIGKILL."""
         incarnation = self.incarnation
         if self._process is None or incarnation is None or incarnation.ended_at_seconds is not None:
             return
@@ -124,7 +124,7 @@
             self._process.send_signal(number)
 
     async def wait_until_ended(self, timeout_seconds: float) -> bool:
-        """Wait for the end of the process; return False if it has not ended in this time."""
+        """Wait until the process has ended; return False if it has not ended within this time."""
         if self._exit_task is None:
             return True
         done, _ = await asyncio.wait((self._exit_task,), timeout=timeout_seconds)
@@ -151,7 +151,7 @@
     async def _record_exit(
         self, process: asyncio.subprocess.Process, incarnation: SidecarIncarnation, log_offset: int
     ) -> None:
-        """Record the end of a process and its log."""
+        """Wait until a process has ended, and record its end and its log."""
         incarnation.exit_status = await process.wait()
         incarnation.ended_at_seconds = self._clock.now_seconds()
         with self._log_file.open("rb") as log:
--- a/soak/sidecar/readiness.py
+++ b/soak/sidecar/readiness.py
@@ -7,7 +7,7 @@
 from soak.network.sockets import Address
 
 RESPONSE_TIMEOUT_SECONDS = 1.0
-"""Seconds; a process that takes longer is not ready."""
+"""Seconds; a process that takes longer to respond is not ready."""
 READINESS_REQUEST = b"GET /up HTTP/1.1\r\nHost: sidecar\r\nConnection: close\r\n\r\n"
 """The request of the readiness check."""
 SUCCESS_STATUS = b" 200 "
--- a/soak/sidecar/resource_usage.py
+++ b/soak/sidecar/resource_usage.py
@@ -1,4 +1,4 @@
-"""What a process uses, as Linux reports it under /proc."""
+"""The resource usage of a process, as Linux reports it under /proc."""
 
 from __future__ import annotations
 
@@ -9,19 +9,19 @@
 BYTES_PER_MEGABYTE = 1_000_000
 PAGE_BYTES = resource.getpagesize()
 RESIDENT_PAGES_FIELD = 1
-"""Position of the resident pages in /proc/PID/statm (proc(5))."""
+"""Index of the number of resident pages among the fields of /proc/PID/statm (proc(5))."""
 
 
 @dataclass(frozen=True, slots=True)
 class ResourceUsage:
-    """The open descriptors and the resident memory of a process."""
+    """The number of open descriptors and the resident memory of a process."""
 
     descriptors: int
     memory_megabytes: float
 
 
 def read_resource_usage(process_id: int) -> ResourceUsage | None:
-    """Return what a process uses now, or None if it is ending."""
+    """Return the current resource usage of a process, or None if the process is ending."""
     directory = Path(f"/proc/{process_id}")
     try:
         descriptors = len(list((directory / "fd").iterdir()))
--- a/soak/sidecar/settings_document.py
+++ b/soak/sidecar/settings_document.py
@@ -1,4 +1,4 @@
-"""The settings object in a sidecar's configuration; its keys are those of the settings format."""
+"""The settings document in a sidecar's configuration; its keys are those of the settings format."""
 
 from __future__ import annotations
 
@@ -16,21 +16,24 @@
 CONNECTION_IDLE_TIMEOUT_NS = 6 * SECOND_NS
 """Nanoseconds; short enough for idle connections to be closed during a soak."""
 MAX_RETRY_AFTER_NS = SECOND_NS
-"""Nanoseconds; the longest time after which a rejected client is asked to retry."""
+"""Nanoseconds; the longest time that a rejected client is asked to wait before a retry."""
 RESPONSE_SLACK_NS = 20_000_000
 """Nanoseconds; part of the settings format, but the sidecar does not read it."""
 POLL_WINDOW_NS = 3 * SECOND_NS
-"""Nanoseconds within which sidecars that poll discovery have to do so again."""
+"""Nanoseconds within which sidecars that poll discovery have to poll it again."""
 ATTEMPT_PRICES = {"Connection": 0.06, "CrossZone": 0.016, "Handshake": 0.06, "Waste": 0.08}
-"""Cost of a connection, a request across zones, a handshake and a wasted attempt, in request values."""
+"""Prices of a connection, a cross-zone request, a handshake and a wasted attempt.
+
+Their unit is the mean weight of a request.
+"""
 NOT_IDEMPOTENT_PRIORITY_WEIGHT = 5.0
-"""Priority weight of requests that must not be repeated: a failure of these costs most."""
+"""Priority weight of requests that are not idempotent, whose failure costs the most."""
 DEFAULT_PRIORITY_WEIGHT = 3.0
 """Priority weight of all other requests."""
 
 
 def settings_document(deployment: Deployment, position: int) -> dict[str, Any]:
-    """Return the settings of the sidecar at a position in the fleet."""
+    """Return the settings of the sidecar at a position in the fleet, counted from 0."""
     return {
         "Azs": list(ZONES),
         "Kinds": ["kind"],
--- a/soak/sidecar/syscall_faults.c
+++ b/soak/sidecar/syscall_faults.c
@@ -1,8 +1,9 @@
-/* System calls that fail as Linux documents, and a wall clock that can be stepped, for one process.
+/* Makes system calls of one process fail as Linux documents, and steps its wall clock.
  *
- * Loaded with LD_PRELOAD. The file that SYSCALL_FAULTS_CONTROL names is mapped and says what fails; syscall_faults.py
- * has the same layout and changes it while the process runs. The call that fails takes the failure from its counter,
- * so that an exact number of failures is injected. Monotonic clocks are left alone.
+ * The library is loaded with LD_PRELOAD. It maps the control file whose path is in SYSCALL_FAULTS_CONTROL and
+ * which holds the faults. syscall_faults.py uses the same layout and changes the file while the process runs.
+ * Each call that fails decrements the counter of remaining failures, so that an exact number of failures is
+ * injected. Monotonic clocks are not changed.
  */
 #define _GNU_SOURCE
 #include <dlfcn.h>
@@ -23,22 +24,24 @@
 #define NANOSECONDS_PER_MICROSECOND 1000
 
 struct fault {
-    int64_t error;     /* the errno of the calls that fail */
-    int64_t remaining; /* how many calls are still to fail */
+    int64_t error;     /* errno of the calls that fail */
+    int64_t remaining; /* number of calls still to fail */
 };
 
+/* The control file. Its fields have the order of _Field in syscall_faults.py. */
 struct control {
     int64_t wall_clock_offset_ns;
     struct fault accept, socket, connect, open;
-    int64_t max_read_bytes;  /* a read of a socket returns at most this much; 0: no limit */
-    int64_t max_write_bytes; /* a write to a socket takes at most this much; 0: no limit */
-    int64_t interrupt_every; /* each n-th read, write and accept is interrupted once; 0: none */
-    int64_t injected_count;  /* failures, limits and interruptions so far */
+    int64_t max_read_bytes;  /* most bytes that a read of a socket returns; 0: no limit */
+    int64_t max_write_bytes; /* most bytes that a write to a socket takes; 0: no limit */
+    int64_t interrupt_every; /* every n-th read, write or accept is interrupted; 0: none */
+    int64_t injected_count;  /* failures, short transfers and interruptions so far */
 };
 
-static struct control idle_control;
-static struct control *control = &idle_control;
-static int64_t call_count;
+/* Used without a control file; all its fields are 0, so nothing fails. */
+static struct control inactive_control;
+static struct control *control = &inactive_control;
+static int64_t interruptible_call_count;
 
 __attribute__((constructor)) static void map_control(void)
 {
@@ -54,42 +57,42 @@
     close(descriptor);
 }
 
-/* Declares `real`: the function of this name that the library stands in front of. */
-#define DECLARE_REAL(name)                                          \
-    static __typeof__(&name) real;                                  \
-    if (real == NULL)                                               \
-        real = (__typeof__(&name))dlsym(RTLD_NEXT, #name)
+/* Declares `real_function`, the original of the function that this library replaces. */
+#define DECLARE_REAL(name)                  \
+    static __typeof__(&name) real_function; \
+    if (real_function == NULL)              \
+        real_function = (__typeof__(&name))dlsym(RTLD_NEXT, #name)
 
-static int64_t load(int64_t *field) { return __atomic_load_n(field, __ATOMIC_RELAXED); }
+static int64_t load_field(int64_t *field) { return __atomic_load_n(field, __ATOMIC_RELAXED); }
 
 static void count_injected(void) { __atomic_add_fetch(&control->injected_count, 1, __ATOMIC_RELAXED); }
 
-/* Returns whether this call fails; then errno is set. */
-static int fails(struct fault *fault)
+/* Returns whether this call has to fail. If so, sets errno and decrements the remaining failures. */
+static int inject_failure(struct fault *fault)
 {
-    if (load(&fault->remaining) <= 0)
+    if (load_field(&fault->remaining) <= 0)
         return 0;
     if (__atomic_sub_fetch(&fault->remaining, 1, __ATOMIC_RELAXED) < 0) {
         __atomic_store_n(&fault->remaining, 0, __ATOMIC_RELAXED);
         return 0;
     }
-    errno = (int)load(&fault->error);
+    errno = (int)load_field(&fault->error);
     count_injected();
     return 1;
 }
 
-/* Returns whether this call is interrupted; then errno is set. */
-static int is_interrupted(void)
+/* Returns whether this call has to be interrupted. If so, sets errno to EINTR. */
+static int inject_interruption(void)
 {
-    int64_t every = load(&control->interrupt_every);
-    if (every <= 0 || __atomic_add_fetch(&call_count, 1, __ATOMIC_RELAXED) % every != 0)
+    int64_t interval = load_field(&control->interrupt_every);
+    if (interval <= 0 || __atomic_add_fetch(&interruptible_call_count, 1, __ATOMIC_RELAXED) % interval != 0)
         return 0;
     errno = EINTR;
     count_injected();
     return 1;
 }
 
-/* Returns whether a descriptor is a stream socket; errno is kept. */
+/* Returns whether a descriptor is a stream socket. Does not change errno. */
 static int is_socket(int descriptor)
 {
     int type;
@@ -100,8 +103,8 @@
     return has_type && type == SOCK_STREAM;
 }
 
-/* Returns the bytes that a call on a socket may move; the limit counts as injected only where it applies. */
-static size_t limited(int descriptor, size_t size, int64_t limit)
+/* Returns how many bytes a call may transfer. The limit counts as injected only if it shortens a transfer. */
+static size_t limit_transfer(int descriptor, size_t size, int64_t limit)
 {
     if (limit <= 0 || size <= (size_t)limit || !is_socket(descriptor))
         return size;
@@ -109,13 +112,13 @@
     return (size_t)limit;
 }
 
-/* ---- the wall clock */
+/* ---- The wall clock */
 
 int clock_gettime(clockid_t clock, struct timespec *time)
 {
     DECLARE_REAL(clock_gettime);
-    int result = real(clock, time);
-    int64_t offset = load(&control->wall_clock_offset_ns);
+    int result = real_function(clock, time);
+    int64_t offset = load_field(&control->wall_clock_offset_ns);
     if (result == 0 && offset != 0 && (clock == CLOCK_REALTIME || clock == CLOCK_REALTIME_COARSE)) {
         int64_t now = time->tv_sec * NANOSECONDS_PER_SECOND + time->tv_nsec + offset;
         time->tv_sec = now / NANOSECONDS_PER_SECOND;
@@ -144,97 +147,106 @@
     return now.tv_sec;
 }
 
-/* ---- calls that fail */
+/* ---- Calls that fail */
 
-static int accept_fails(void) { return is_interrupted() || fails(&control->accept); }
+static int inject_accept_failure(void) { return inject_interruption() || inject_failure(&control->accept); }
 
 int accept4(int descriptor, struct sockaddr *address, socklen_t *length, int flags)
 {
     DECLARE_REAL(accept4);
-    return accept_fails() ? -1 : real(descriptor, address, length, flags);
+    return inject_accept_failure() ? -1 : real_function(descriptor, address, length, flags);
 }
 
 int accept(int descriptor, struct sockaddr *address, socklen_t *length)
 {
     DECLARE_REAL(accept);
-    return accept_fails() ? -1 : real(descriptor, address, length);
+    return inject_accept_failure() ? -1 : real_function(descriptor, address, length);
 }
 
 int socket(int domain, int type, int protocol)
 {
     DECLARE_REAL(socket);
-    if (fails(&control->socket))
+    if (inject_failure(&control->socket))
         return -1;
-    return real(domain, type, protocol);
+    return real_function(domain, type, protocol);
 }
 
 int connect(int descriptor, const struct sockaddr *address, socklen_t length)
 {
     DECLARE_REAL(connect);
-    if (fails(&control->connect))
+    if (inject_failure(&control->connect))
         return -1;
-    return real(descriptor, address, length);
-}
-
-/* Only the configuration fails to open: an interpreter that cannot read its own modules says nothing of the sidecar. */
-static int open_fails(const char *path) { return strstr(path, "config.json") != NULL && fails(&control->open); }
-
-/* open and open64 differ in their names alone. */
-#define DEFINE_OPEN(name)                                                                  \
-    int name(const char *path, int flags, ...)                                             \
-    {                                                                                      \
-        DECLARE_REAL(name);                                                                \
-        va_list arguments;                                                                 \
-        va_start(arguments, flags);                                                        \
-        mode_t mode = (flags & (O_CREAT | O_TMPFILE)) ? va_arg(arguments, mode_t) : 0;     \
-        va_end(arguments);                                                                 \
-        return open_fails(path) ? -1 : real(path, flags, mode);                            \
+    return real_function(descriptor, address, length);
+}
+
+/* Only the configuration file fails to open. An interpreter that cannot read its own modules would fail for a
+ * reason that has nothing to do with the sidecar.
+ */
+static int inject_open_failure(const char *path)
+{
+    return strstr(path, "config.json") != NULL && inject_failure(&control->open);
+}
+
+/* Defines open or open64, which differ only in their names. */
+#define DEFINE_OPEN(name)                                                              \
+    int name(const char *path, int flags, ...)                                         \
+    {                                                                                  \
+        DECLARE_REAL(name);                                                            \
+        va_list arguments;                                                             \
+        va_start(arguments, flags);                                                    \
+        mode_t mode = (flags & (O_CREAT | O_TMPFILE)) ? va_arg(arguments, mode_t) : 0; \
+        va_end(arguments);                                                             \
+        return inject_open_failure(path) ? -1 : real_function(path, flags, mode);      \
     }
 
 DEFINE_OPEN(open)
 DEFINE_OPEN(open64)
 
-/* ---- reads and writes that are short or interrupted */
+/* ---- Reads and writes that are shortened or interrupted */
 
 ssize_t read(int descriptor, void *buffer, size_t size)
 {
     DECLARE_REAL(read);
-    if (is_interrupted())
+    if (inject_interruption())
         return -1;
-    return real(descriptor, buffer, limited(descriptor, size, load(&control->max_read_bytes)));
+    return real_function(descriptor, buffer,
+                         limit_transfer(descriptor, size, load_field(&control->max_read_bytes)));
 }
 
 ssize_t recv(int descriptor, void *buffer, size_t size, int flags)
 {
     DECLARE_REAL(recv);
-    if (is_interrupted())
+    if (inject_interruption())
         return -1;
-    return real(descriptor, buffer, limited(descriptor, size, load(&control->max_read_bytes)), flags);
+    return real_function(descriptor, buffer,
+                         limit_transfer(descriptor, size, load_field(&control->max_read_bytes)), flags);
 }
 
 ssize_t write(int descriptor, const void *buffer, size_t size)
 {
     DECLARE_REAL(write);
-    if (is_interrupted())
+    if (inject_interruption())
         return -1;
-    return real(descriptor, buffer, limited(descriptor, size, load(&control->max_write_bytes)));
+    return real_function(descriptor, buffer,
+                         limit_transfer(descriptor, size, load_field(&control->max_write_bytes)));
 }
 
 ssize_t send(int descriptor, const void *buffer, size_t size, int flags)
 {
     DECLARE_REAL(send);
-    if (is_interrupted())
+    if (inject_interruption())
         return -1;
-    return real(descriptor, buffer, limited(descriptor, size, load(&control->max_write_bytes)), flags);
+    return real_function(descriptor, buffer,
+                         limit_transfer(descriptor, size, load_field(&control->max_write_bytes)), flags);
 }
 
 ssize_t writev(int descriptor, const struct iovec *parts, int count)
 {
     DECLARE_REAL(writev);
-    if (is_interrupted())
+    if (inject_interruption())
         return -1;
-    int64_t limit = load(&control->max_write_bytes);
+    int64_t limit = load_field(&control->max_write_bytes);
     if (limit > 0 && count > 0 && is_socket(descriptor))
         return write(descriptor, parts[0].iov_base, parts[0].iov_len);
-    return real(descriptor, parts, count);
+    return real_function(descriptor, parts, count);
 }
--- a/soak/sidecar/syscall_faults.py
+++ b/soak/sidecar/syscall_faults.py
@@ -1,6 +1,7 @@
-"""Makes system calls of a sidecar's process fail, and steps the wall clock that it sees.
+"""Makes system calls of a sidecar's process fail, and steps the wall clock of the process.
 
-The process loads `syscall_faults.c` with LD_PRELOAD; both map a small control file that says what fails.
+The process loads the library built from `syscall_faults.c` with LD_PRELOAD. The soak and the library map
+the same control file, in which the soak sets the faults.
 """
 
 from __future__ import annotations
@@ -15,13 +16,13 @@
 from soak.errors import FaultLibraryError
 
 SOURCE = Path(__file__).with_name("syscall_faults.c")
-"""The source of the library."""
+"""The C source file of the library."""
 BUILD_TIMEOUT_SECONDS = 60.0
-"""Seconds; a compiler takes less than one, on a busy machine some."""
+"""Seconds. A compiler takes less than one second, or a few on a busy machine."""
 
 
 class _Field(IntEnum):
-    """The fields of the control file by their position; `struct control` in the C file has the same order."""
+    """The fields of the control file by position; `struct control` in the C file has the same order."""
 
     WALL_CLOCK_OFFSET_NS = 0
     ACCEPT_ERROR = 1
@@ -39,7 +40,10 @@
 
 
 class FaultyCall(IntEnum):
-    """A system call that can fail; the value is the field of its errno. The next one counts the failures."""
+    """A system call that can be made to fail.
+
+    The value is the position of the field with its errno; the next field counts the calls still to fail.
+    """
 
     ACCEPT = _Field.ACCEPT_ERROR
     SOCKET = _Field.SOCKET_ERROR
@@ -55,11 +59,11 @@
     """Compile the library into a directory and return its path.
 
     Raises:
-        FaultLibraryError: there is no C compiler, or it fails.
+        FaultLibraryError: no C compiler is installed, or the compilation fails.
     """
     compiler = shutil.which("cc") or shutil.which("gcc")
     if compiler is None:
-        raise FaultLibraryError("no C compiler is installed")
+        raise FaultLibraryError("no C compiler is installed (neither cc nor gcc was found)")
     library = directory / "syscall_faults.so"
     command = [compiler, "-shared", "-fPIC", "-O2", "-o", str(library), str(SOURCE), "-ldl"]
     try:
@@ -70,7 +74,7 @@
 
 
 class SyscallFaults:
-    """The system call faults of one sidecar; they outlast its processes."""
+    """The system call faults of one sidecar. They stay in effect when a new process replaces the old one."""
 
     def __init__(self, library: Path, control_file: Path) -> None:
         self._library = library
@@ -81,16 +85,16 @@
 
     @property
     def environment(self) -> dict[str, str]:
-        """The variables that load the library into a process and name its control file."""
+        """The environment variables that load the library into a process and give it the control file."""
         return {"LD_PRELOAD": str(self._library), "SYSCALL_FAULTS_CONTROL": str(self._control_file)}
 
     @property
     def injected_count(self) -> int:
-        """How many failures, short transfers and interruptions there were so far."""
+        """The number of failures, short transfers and interruptions injected so far."""
         return self._read(_Field.INJECTED_COUNT)
 
     def step_wall_clock(self, offset_ns: int) -> None:
-        """Set how far the wall clock of the process is ahead of the machine's."""
+        """Set the offset of the process's wall clock from the machine's, in nanoseconds."""
         self._write(_Field.WALL_CLOCK_OFFSET_NS, offset_ns)
 
     def fail(self, call: FaultyCall, error: int, count: int) -> None:
@@ -99,20 +103,20 @@
         self._write(call + 1, count)
 
     def stop_failing(self, call: FaultyCall) -> None:
-        """Let the call succeed again."""
+        """Inject no further failures of this call."""
         self.fail(call, error=0, count=0)
 
     def limit_transfers(self, max_read_bytes: int, max_write_bytes: int) -> None:
-        """Make reads and writes of sockets move at most so many bytes at once; 0: no limit."""
+        """Limit the bytes that one read or write of a socket transfers; 0 for no limit."""
         self._write(_Field.MAX_READ_BYTES, max_read_bytes)
         self._write(_Field.MAX_WRITE_BYTES, max_write_bytes)
 
     def remove_transfer_limits(self) -> None:
-        """Let reads and writes of sockets move any number of bytes again."""
+        """Remove the limits on the bytes that one read or write of a socket transfers."""
         self.limit_transfers(max_read_bytes=0, max_write_bytes=0)
 
     def interrupt_every(self, count: int) -> None:
-        """Interrupt each n-th read, write and accept once (EINTR)."""
+        """Interrupt every `count`-th call of read, write or accept with EINTR."""
         self._write(_Field.INTERRUPT_EVERY, count)
 
     def stop_interrupting(self) -> None:
