--- a/soak/account_server/attempt_recorder.py
+++ b/soak/account_server/attempt_recorder.py
@@ -70,7 +70,9 @@
         arrivals = self._arrivals()
         if arrivals is not None:
             connection_end_seconds = (arrivals.closed_at_seconds, arrivals.reset_at_seconds)
-            end_times_seconds += [at_seconds for at_seconds in connection_end_seconds if at_seconds is not None]
+            end_times_seconds += [
+                at_seconds for at_seconds in connection_end_seconds if at_seconds is not None
+            ]
         self.current.end = end
         self.current.ended_at_seconds = min(end_times_seconds)
         self.current = None
--- a/soak/discovery/endpoint_directory.py
+++ b/soak/discovery/endpoint_directory.py
@@ -72,7 +72,9 @@
 
     def snapshot(self, omits_draining: bool = False) -> dict[str, Any]:
         """Return the complete list in discovery's format."""
-        included_health = {EndpointHealth.UP} if omits_draining else {EndpointHealth.UP, EndpointHealth.DRAINING}
+        included_health = (
+            {EndpointHealth.UP} if omits_draining else {EndpointHealth.UP, EndpointHealth.DRAINING}
+        )
         entries = (entry for entry in self._entries.values() if entry.health in included_health)
         return self._document(entries, is_complete=True)
 
--- a/soak/discovery/notification_deadlines.py
+++ b/soak/discovery/notification_deadlines.py
@@ -72,7 +72,9 @@
                 del self._pending[server]
 
     def _extend(self, seconds: float) -> None:
-        self._earliest_due_at_seconds = max(self._earliest_due_at_seconds, self._clock.now_seconds() + seconds)
+        self._earliest_due_at_seconds = max(
+            self._earliest_due_at_seconds, self._clock.now_seconds() + seconds
+        )
 
     def _due_at_seconds(self) -> float:
         """Return the time by which the sidecar has to know a change that is made now."""
--- a/soak/sidecar/settings_document.py
+++ b/soak/sidecar/settings_document.py
@@ -37,7 +37,9 @@
     return {
         "Azs": list(ZONES),
         "Kinds": ["kind"],
-        "Categories": [_request_class_settings(request_class) for request_class in deployment.request_classes],
+        "Categories": [
+            _request_class_settings(request_class) for request_class in deployment.request_classes
+        ],
         "Orgs": [_tenant_settings(tenant) for tenant in TENANTS],
         "Limits": _limit_settings(deployment),
         "Rules": _rule_settings(deployment),
