--- a/soak/clients/behaviour.py
+++ b/soak/clients/behaviour.py
@@ -16,15 +16,15 @@
     WRITES_SLOWLY = "writes in pieces"
     REQUESTS_CLOSE = "requests that the connection be closed"
     PIPELINES = "pipelines many requests"
-    GARBAGE = "sends garbage"
-    PARTIAL_REQUEST = "stops in the middle of a request"
+    SENDS_GARBAGE = "sends garbage"
+    STALLS_IN_REQUEST = "stops in the middle of a request"
     SENDS_NOTHING = "sends nothing"
     FLOODS = "sends much garbage and disconnects"
 
 
 MALFORMED_BEHAVIOURS = (
-    Behaviour.GARBAGE,
-    Behaviour.PARTIAL_REQUEST,
+    Behaviour.SENDS_GARBAGE,
+    Behaviour.STALLS_IN_REQUEST,
     Behaviour.SENDS_NOTHING,
     Behaviour.FLOODS,
 )
@@ -52,8 +52,8 @@
             Behaviour.WRITES_SLOWLY: 4.0,
             Behaviour.REQUESTS_CLOSE: 4.0,
             Behaviour.PIPELINES: 0.5,
-            Behaviour.GARBAGE: 0.3,
-            Behaviour.PARTIAL_REQUEST: 0.3,
+            Behaviour.SENDS_GARBAGE: 0.3,
+            Behaviour.STALLS_IN_REQUEST: 0.3,
             Behaviour.SENDS_NOTHING: 0.2,
             Behaviour.FLOODS: 0.2,
         }
--- a/soak/clients/malformed_client.py
+++ b/soak/clients/malformed_client.py
@@ -43,10 +43,10 @@
             connection.write(self._random.randbytes(FLOOD_BYTES))
             connection.disconnect(by_reset=self._random.random() < FLOOD_RESET_PROBABILITY)
             return
-        if behaviour == Behaviour.GARBAGE:
+        if behaviour == Behaviour.SENDS_GARBAGE:
             garbage_bytes = self._random.randint(1, MAX_GARBAGE_BYTES)
             connection.write(self._random.randbytes(garbage_bytes) + b"\r\n\r\n")
-        elif behaviour == Behaviour.PARTIAL_REQUEST:
+        elif behaviour == Behaviour.STALLS_IN_REQUEST:
             connection.write(valid_request[: self._random.randrange(1, len(valid_request))])
         await self._observe(connection, peer)
 
--- a/soak/discovery/notification_deadlines.py
+++ b/soak/discovery/notification_deadlines.py
@@ -78,8 +78,8 @@
 
     def _due_at_seconds(self) -> float:
         """Return the time by which the sidecar has to know a change that is made now."""
-        notice_seconds = UNRESPONSIVE_WATCH_TIMEOUT_SECONDS if self._is_polled else 0.0
-        return max(self._clock.now_seconds() + notice_seconds, self._earliest_due_at_seconds)
+        polling_delay_seconds = UNRESPONSIVE_WATCH_TIMEOUT_SECONDS if self._is_polled else 0.0
+        return max(self._clock.now_seconds() + polling_delay_seconds, self._earliest_due_at_seconds)
 
     def _record(self, server: str, health: EndpointHealth, at_seconds: float) -> None:
         notification = EndpointNotification(self._sidecar, server, health, at_seconds)
--- a/soak/fault_injection/network_faults.py
+++ b/soak/fault_injection/network_faults.py
@@ -52,7 +52,7 @@
         return await self._run_in_mode(fault, mode)
 
     async def _delay_connections(self, fault: PlannedFault) -> str:
-        mode = ProxyMode(accept_delay_seconds=MAX_ACCEPT_DELAY_SECONDS * fault.strength)
+        mode = ProxyMode(server_connect_delay_seconds=MAX_ACCEPT_DELAY_SECONDS * fault.strength)
         return await self._run_in_mode(fault, mode)
 
     async def _run_in_mode(self, fault: PlannedFault, mode: ProxyMode) -> str:
--- a/soak/network/proxied_connection.py
+++ b/soak/network/proxied_connection.py
@@ -190,9 +190,9 @@
         self._finish()
 
     async def _connect_server(self) -> None:
-        accept_delay_seconds = self._state.mode_switch.mode.accept_delay_seconds
-        if accept_delay_seconds:
-            await asyncio.sleep(accept_delay_seconds)
+        server_connect_delay_seconds = self._state.mode_switch.mode.server_connect_delay_seconds
+        if server_connect_delay_seconds:
+            await asyncio.sleep(server_connect_delay_seconds)
         loop = asyncio.get_running_loop()
         try:
             await loop.create_connection(lambda: _ServerSide(self), *self._state.backend)
--- a/soak/network/proxy_mode.py
+++ b/soak/network/proxy_mode.py
@@ -18,7 +18,7 @@
     """Whether neither data nor the end of a connection is forwarded; new connections are accepted."""
     reset_probability: float = 0.0
     """Probability for each piece of data that the connection is reset instead of forwarding it."""
-    accept_delay_seconds: float = 0.0
+    server_connect_delay_seconds: float = 0.0
     """How long the proxy waits, after accepting a connection, before it connects to the server."""
 
 
