--- a/soak/account_server/server_fault.py
+++ b/soak/account_server/server_fault.py
@@ -8,7 +8,8 @@
 class ServerFault(StrEnum):
     """How an account server misbehaves.
 
-    The strength of a planned fault selects a member by its position, so a seed depends on their order.
+    The strength of a planned fault selects a member by its position, so another order would change what a
+    seed stands for.
     """
 
     NONE = "none"
--- a/soak/clients/behaviour.py
+++ b/soak/clients/behaviour.py
@@ -8,7 +8,11 @@
 
 
 class Behaviour(StrEnum):
-    """What a client does with its request. A seed depends on the order of the behaviours in a profile."""
+    """What a client does with its request.
+
+    The load draws from the behaviours in the order of a profile, so another order would change what a seed
+    stands for.
+    """
 
     WAITS = "waits for the response"
     DISCONNECTS = "closes the connection before the response"
--- a/soak/clients/connection_pool.py
+++ b/soak/clients/connection_pool.py
@@ -13,7 +13,7 @@
 NEW_CONNECTIONS_AFTER_STOP_SECONDS = 0.3
 """Seconds after SIGTERM in which clients still connect, because they learn of a shutdown late."""
 MAX_IDLE_CONNECTIONS = 20
-"""Number of idle connections that are kept for later requests."""
+"""Largest number of idle connections that are kept for later requests."""
 RESET_PROBABILITY = 0.3
 """Probability that a client resets its connection when all clients disconnect; otherwise it closes it."""
 
--- a/soak/clients/load.py
+++ b/soak/clients/load.py
@@ -29,7 +29,7 @@
 MAX_PIPELINED_REQUESTS = 24
 """Largest pipeline, in requests; more than a sidecar processes at once on one connection."""
 BURST_SIZES = (1, 1, 1, 1, 1, 1, 2, 2, 4, 6)
-"""Numbers of requests that arrive at once, drawn with equal probability; most requests arrive alone."""
+"""Numbers of requests that arrive at once, drawn with equal probability; most often it is one."""
 MEAN_BURST_SIZE = sum(BURST_SIZES) / len(BURST_SIZES)
 """Mean number of requests in a burst."""
 
--- a/soak/clients/request_factory.py
+++ b/soak/clients/request_factory.py
@@ -51,7 +51,7 @@
         return PreparedRequest(request, self._encode(request, request_class, requests_close))
 
     def _encode(self, request: ClientRequest, request_class: RequestClass, requests_close: bool) -> bytes:
-        """Return the bytes of a request. A seed depends on the order of the random draws."""
+        """Return the bytes of a request; another order of the draws would change what a seed stands for."""
         has_body = request_class.idempotency != Idempotency.IDEMPOTENT
         body = self._random.randbytes(self._random.randrange(MAX_BODY_BYTES)) if has_body else b""
         key = int(RESOURCE_KEY_COUNT * self._random.random() ** 2)
--- a/soak/discovery/agent.py
+++ b/soak/discovery/agent.py
@@ -1,4 +1,4 @@
-"""The discovery agent of one sidecar. A new configuration can change its address."""
+"""A stand-in for the discovery agent of one sidecar. A new configuration can change its address."""
 
 from __future__ import annotations
 
@@ -88,7 +88,10 @@
         self.reset_connections()
 
     async def recover(self) -> None:
-        """End one outage. After the last one, listen at the same address and restart the deadlines."""
+        """End one outage; after the last one, listen at the same address again.
+
+        The deadlines of pending changes then start again.
+        """
         self._outage_count -= 1
         if self.is_down:
             return
--- a/soak/discovery/notification_deadlines.py
+++ b/soak/discovery/notification_deadlines.py
@@ -38,11 +38,11 @@
         self._pending: dict[str, _PendingChange] = {}
 
     def extend_for_new_address(self) -> None:
-        """Extend the deadlines of later changes by the time that it takes to call a new address."""
+        """Allow for the time that it takes to call a new address in the deadlines of changes from now on."""
         self._extend(NEW_ADDRESS_TIMEOUT_SECONDS)
 
     def extend_for_unresponsive_watch(self) -> None:
-        """Extend the deadlines of later changes by the time that it takes to notice an unresponsive watch."""
+        """Allow for the time that it takes to replace an unresponsive watch in deadlines from now on."""
         self._extend(UNRESPONSIVE_WATCH_TIMEOUT_SECONDS)
 
     def add(self, server: str, health: EndpointHealth) -> None:
@@ -72,6 +72,7 @@
                 del self._pending[server]
 
     def _extend(self, seconds: float) -> None:
+        """Let no change that is made from now on be due before this time has passed."""
         self._earliest_due_at_seconds = max(
             self._earliest_due_at_seconds, self._clock.now_seconds() + seconds
         )
--- a/soak/network/arrival_log.py
+++ b/soak/network/arrival_log.py
@@ -1,4 +1,4 @@
-"""Records when the bytes of a connection arrived at a proxy, as the server behind it may get them later."""
+"""Records when the bytes of a connection arrive at a proxy, which may forward them to the server later."""
 
 from __future__ import annotations
 
--- a/soak/network/loopback.py
+++ b/soak/network/loopback.py
@@ -27,7 +27,7 @@
 
 def free_address(host: str) -> Address:
     """Return the host with a port that is free now."""
-    with socket.socket() as probe:
-        probe.bind((host, 0))
-        port: int = probe.getsockname()[1]
+    with socket.socket() as bound_socket:
+        bound_socket.bind((host, 0))
+        port: int = bound_socket.getsockname()[1]
         return host, port
