--- a/soak/clients/behaviour.py
+++ b/soak/clients/behaviour.py
@@ -1,4 +1,4 @@
-"""What clients do, and how often."""
+"""The behaviours of clients and their frequencies."""
 
 from __future__ import annotations
 
@@ -8,7 +8,11 @@
 
 
 class Behaviour(StrEnum):
-    """What a client does with its request. The load draws from them by their order in a profile."""
+    """What a client does with its request.
+
+    The load draws from the behaviours in the order of a profile, so another order would change what a seed
+    stands for.
+    """
 
     WAITS = "waits for the response"
     DISCONNECTS = "closes the connection before the response"
@@ -16,34 +20,34 @@
     WRITES_SLOWLY = "writes in pieces"
     REQUESTS_CLOSE = "requests that the connection be closed"
     PIPELINES = "pipelines many requests"
-    GARBAGE = "sends garbage"
-    PARTIAL_REQUEST = "stops in the middle of a request"
-    SILENT = "sends nothing"
+    SENDS_GARBAGE = "sends garbage"
+    STALLS_IN_REQUEST = "stops in the middle of a request"
+    SENDS_NOTHING = "sends nothing"
     FLOODS = "sends much garbage and disconnects"
 
 
 MALFORMED_BEHAVIOURS = (
-    Behaviour.GARBAGE,
-    Behaviour.PARTIAL_REQUEST,
-    Behaviour.SILENT,
+    Behaviour.SENDS_GARBAGE,
+    Behaviour.STALLS_IN_REQUEST,
+    Behaviour.SENDS_NOTHING,
     Behaviour.FLOODS,
 )
-"""Those of clients that send no valid request."""
+"""The behaviours of clients that send no valid request."""
 
 
 @dataclass(slots=True)
 class LoadProfile:
-    """How often clients show each behaviour; faults change it for a while."""
+    """The weights with which behaviours are drawn; faults change them temporarily."""
 
     weights: dict[Behaviour, float]
 
     def draw(self, random: Random) -> Behaviour:
-        """Draw what one client does."""
+        """Draw the behaviour of one client."""
         return random.choices(list(self.weights), list(self.weights.values()))[0]
 
 
 def default_profile() -> LoadProfile:
-    """Return the profile of clients without a fault."""
+    """Return the profile that applies while no fault affects the clients."""
     return LoadProfile(
         {
             Behaviour.WAITS: 80.0,
@@ -52,9 +56,9 @@
             Behaviour.WRITES_SLOWLY: 4.0,
             Behaviour.REQUESTS_CLOSE: 4.0,
             Behaviour.PIPELINES: 0.5,
-            Behaviour.GARBAGE: 0.3,
-            Behaviour.PARTIAL_REQUEST: 0.3,
-            Behaviour.SILENT: 0.2,
+            Behaviour.SENDS_GARBAGE: 0.3,
+            Behaviour.STALLS_IN_REQUEST: 0.3,
+            Behaviour.SENDS_NOTHING: 0.2,
             Behaviour.FLOODS: 0.2,
         }
     )
--- a/soak/discovery/agent.py
+++ b/soak/discovery/agent.py
@@ -1,4 +1,4 @@
-"""The discovery agent of one sidecar; its address changes with a new configuration."""
+"""A stand-in for the discovery agent of one sidecar. A new configuration can change its address."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 from soak.history.history import History
 from soak.network.sockets import Address
 
-OLD_ADDRESS_SECONDS = 1.5
-"""Seconds after which an address that the agent has left closes its connections."""
+OLD_ADDRESS_CLOSE_DELAY_SECONDS = 1.5
+"""Seconds after a change of address at which the connections to the old address are closed."""
 
 
 class DiscoveryAgent:
-    """Serves the endpoint list to one sidecar, and tracks what the sidecar has to know."""
+    """Serves the endpoint list to one sidecar, and tracks which changes the sidecar has to know."""
 
     def __init__(
         self,
@@ -38,16 +38,16 @@
         self._deadlines = NotificationDeadlines(sidecar, is_polled, clock, history)
         self._state = AgentState(directory, random, on_list_sent=self._deadlines.record_all)
         self._listener: asyncio.Server | None = None
-        self._down_count = 0
+        self._outage_count = 0
         directory.add_listener(self._on_change)
 
     @property
     def is_down(self) -> bool:
-        """Whether the agent rejects connections now."""
-        return self._down_count > 0
+        """Whether the agent refuses connections now."""
+        return self._outage_count > 0
 
     def known_endpoints(self) -> dict[str, Any]:
-        """Return the complete list in discovery's form, as a configuration has it."""
+        """Return the complete list in discovery's format, to be used in a configuration."""
         return self._directory.snapshot()
 
     async def start(self) -> None:
@@ -55,10 +55,10 @@
         self._listener = await self._listen((self._host, 0))
         self.address = self._listener.sockets[0].getsockname()[:2]
 
-    async def move(self) -> None:
-        """Listen at a new address; the old one takes no new connections and closes the open ones later.
+    async def listen_at_new_address(self) -> None:
+        """Listen at a new address; the old one accepts no connections and its open ones are closed later.
 
-        To be called only while the agent is not down.
+        The agent must not be down.
         """
         self._deadlines.extend_for_new_address()
         old_listener = self._listener
@@ -66,13 +66,13 @@
         await self.start()
         if old_listener is not None:
             old_listener.close()
-        asyncio.get_running_loop().call_later(OLD_ADDRESS_SECONDS, _close_all, old_connections)
+        asyncio.get_running_loop().call_later(OLD_ADDRESS_CLOSE_DELAY_SECONDS, _close_all, old_connections)
 
-    def silence_watches(self) -> None:
-        """Never respond again on the open connections; new ones are served."""
-        self._deadlines.extend_for_silent_watch()
+    def stop_watch_responses(self) -> None:
+        """Stop responding on the open connections; new ones are served."""
+        self._deadlines.extend_for_unresponsive_watch()
         for connection in self._state.connections:
-            connection.silence()
+            connection.stop_responding()
 
     def reset_connections(self) -> None:
         """Reset the open connections."""
@@ -80,28 +80,31 @@
             connection.reset()
 
     def go_down(self) -> None:
-        """Reject connections until `recover` has been called as often."""
-        self._down_count += 1
+        """Refuse connections until `recover` has been called as often as `go_down`."""
+        self._outage_count += 1
         if self._listener is not None:
             self._listener.close()
             self._listener = None
         self.reset_connections()
 
     async def recover(self) -> None:
-        """Listen at the same address again; the time to learn of pending changes starts now."""
-        self._down_count -= 1
+        """End one outage; after the last one, listen at the same address again.
+
+        The deadlines of pending changes then start again.
+        """
+        self._outage_count -= 1
         if self.is_down:
             return
         self._listener = await self._listen(self.address)
         self._deadlines.restart()
 
     def record_process_start(self) -> None:
-        """Record that a new process has to know what the agent knows, from its first moment."""
-        for server, health in self._directory.departing_servers().items():
+        """Record that a new process has to know all draining and removed servers from its start."""
+        for server, health in self._directory.draining_or_removed_servers().items():
             self._deadlines.add(server, health)
 
     def record_overdue(self) -> None:
-        """Record the changes that the sidecar has to know by now though they were never sent."""
+        """Record the changes that the sidecar has to know by now although they were never sent."""
         if not self.is_down:
             self._deadlines.record_overdue()
 
--- a/soak/discovery/connection.py
+++ b/soak/discovery/connection.py
@@ -15,40 +15,40 @@
 from soak.network.sockets import reset_transport
 
 COMPLETE_LIST_PROBABILITY = 0.2
-"""Probability that a watch is answered with the complete list, from which draining servers are omitted."""
+"""Probability that a watch gets the complete list, without the draining servers, instead of the changes."""
 INDENTED_JSON_PROBABILITY = 0.2
-"""Probability of a response with line breaks, which arrives in more pieces."""
+"""Probability that the JSON of a response is indented; the response then arrives in more pieces."""
 MILLISECONDS_PER_SECOND = 1000
 
 
 @dataclass(frozen=True, slots=True)
 class AgentState:
-    """What a discovery agent shares with its connections."""
+    """The state that a discovery agent shares with its connections."""
 
     directory: EndpointDirectory
     random: Random
     on_list_sent: Callable[[], None]
-    """Called when the sidecar has been sent the list as it is now."""
+    """Called when the current list has been sent to the sidecar."""
     connections: set[AgentConnection] = field(default_factory=set)
     """The open connections."""
 
 
 @dataclass(frozen=True, slots=True)
 class _ListQuery:
-    """A call for the endpoint list."""
+    """The parameters of a call for the endpoint list."""
 
     since_version: int
-    """The version that the sidecar has; 0: none."""
-    hold_seconds: float
-    """How long the call may wait for a change."""
+    """The version of the list that the sidecar has; 0 if it has none."""
+    long_poll_timeout_seconds: float
+    """The timeout of the long poll: how long the call may wait for a change."""
 
     @classmethod
     def parse(cls, target: str) -> _ListQuery:
         """Parse the target of a request."""
         parameters = parse_qs(urlsplit(target).query)
         since_version = int(parameters.get("from", ["0"])[0])
-        hold_milliseconds = int(parameters.get("hold_ms", ["0"])[0])
-        return cls(since_version, hold_milliseconds / MILLISECONDS_PER_SECOND)
+        long_poll_timeout_milliseconds = int(parameters.get("hold_ms", ["0"])[0])
+        return cls(since_version, long_poll_timeout_milliseconds / MILLISECONDS_PER_SECOND)
 
 
 class AgentConnection(asyncio.Protocol):
@@ -59,10 +59,10 @@
         self._buffer = b""
         self._transport: asyncio.Transport | None = None
         self._task: asyncio.Task[None] | None = None
-        self._is_silent = False
+        self._is_unresponsive = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport."""
+        """Store the transport and register the connection."""
         self._transport = cast(asyncio.Transport, transport)
         self._state.connections.add(self)
 
@@ -77,14 +77,14 @@
         self._task = asyncio.get_running_loop().create_task(self._respond(_ListQuery.parse(target)))
 
     def connection_lost(self, _error: Exception | None) -> None:
-        """Cancel the call that is in progress."""
+        """Unregister the connection and cancel the call in progress."""
         self._state.connections.discard(self)
         if self._task is not None:
             self._task.cancel()
 
-    def silence(self) -> None:
-        """Respond to no further call."""
-        self._is_silent = True
+    def stop_responding(self) -> None:
+        """Send no further response."""
+        self._is_unresponsive = True
 
     def close(self) -> None:
         """Close the connection."""
@@ -100,8 +100,8 @@
         directory = self._state.directory
         if query.since_version and directory.version <= query.since_version:
             with contextlib.suppress(TimeoutError):
-                await asyncio.wait_for(directory.changed.wait(), query.hold_seconds)
-        if self._is_silent:
+                await asyncio.wait_for(directory.changed.wait(), query.long_poll_timeout_seconds)
+        if self._is_unresponsive:
             return
         document = self._draw_document(query.since_version)
         is_indented = self._state.random.random() < INDENTED_JSON_PROBABILITY
@@ -111,7 +111,7 @@
             self._state.on_list_sent()
 
     def _draw_document(self, since_version: int) -> dict[str, Any]:
-        """Return the complete list or the changes since a version."""
+        """Return the complete list or the changes since a version, in discovery's format."""
         directory = self._state.directory
         is_first_call = not since_version
         is_complete = is_first_call or self._state.random.random() < COMPLETE_LIST_PROBABILITY
