--- a/balancer/gossip_codec.py
+++ b/balancer/gossip_codec.py
@@ -54,7 +54,7 @@
     """Delays as shares of the slack, each from some way below 0 to 2."""
     sample_count: float = 0.0
     attempt_count: float = 0.0
-    answer_count: float = 0.0
+    response_count: float = 0.0
 
 
 @dataclass(slots=True)
@@ -168,7 +168,7 @@
     # Not negative and not too large; comparisons with a value that is no number are false as well.
     nonnegative_sums = list(message.keyless_arrivals)
     for evidence in message.queueing:
-        nonnegative_sums += (evidence.sample_count, evidence.attempt_count, evidence.answer_count)
+        nonnegative_sums += (evidence.sample_count, evidence.attempt_count, evidence.response_count)
     for samples in message.latencies:
         nonnegative_sums += samples.values()
     return all(0 <= value <= MAX_VALUE for value in nonnegative_sums)
--- a/balancer/policy/overload/queueing_delay.py
+++ b/balancer/policy/overload/queueing_delay.py
@@ -39,7 +39,7 @@
             queueing_delay = evidence.delay_sum / evidence.sample_count
         answer_ratio = 1.0
         if evidence.attempt_count > MIN_COUNT:
-            answer_ratio = evidence.answer_count / evidence.attempt_count
+            answer_ratio = evidence.response_count / evidence.attempt_count
         return LoadEstimate(queueing_delay, answer_ratio)
 
     def mixed_with(self, other: LoadEstimate, other_share: float) -> LoadEstimate:
@@ -102,7 +102,7 @@
 
     def record_answer(self, zone: int) -> None:
         """Count a successful answer."""
-        self.evidence[zone].answer_count += 1
+        self.evidence[zone].response_count += 1
 
     def record_delay(self, endpoint: EndpointState, request: RequestState, delay: float) -> None:
         """Record the queueing delay of an attempt, in place of what was recorded for it before."""
--- a/balancer/policy/requests/retry.py
+++ b/balancer/policy/requests/retry.py
@@ -52,7 +52,7 @@
             return False
         time_passed_ns = request_class.client_timeout_ns - time_left_ns
         is_late = time_left_ns < longest_ns and time_passed_ns >= request_class.latency_objective_ns
-        return is_late and not request_class.late_answer_value
+        return is_late and not request_class.late_response_value
 
     def attempt_timeout_ns(self, request: RequestState, now_ns: int) -> int:
         """Return how long to wait for an attempt; 0 to wait until the client gives up.
@@ -61,7 +61,7 @@
         queue although the endpoint was probed.
         """
         has_queues = self._load_probing.is_enabled and not self._overload.is_calm
-        if request.request_class.late_answer_value and not has_queues:
+        if request.request_class.late_response_value and not has_queues:
             return 0
         time_left_ns = request.objective_deadline_ns - now_ns
         return time_left_ns if 0 < time_left_ns < request.expires_at_ns - now_ns else 0
@@ -86,13 +86,13 @@
         if not request.may_run_again:
             return api.FailRequest(request.id)
         request_class = request.request_class
-        is_late = not request_class.late_answer_value and now_ns >= request.objective_deadline_ns
+        is_late = not request_class.late_response_value and now_ns >= request.objective_deadline_ns
         retry_after_ns = request_class.client_timeout_ns if is_late else RETRY_AFTER_NS
         return api.RejectRequest(request.id, min(retry_after_ns, self._settings.max_retry_after_ns))
 
 
 def _useful_until_ns(request: RequestState) -> int:
     """Return until when an answer to a request is worth anything."""
-    if request.request_class.late_answer_value:
+    if request.request_class.late_response_value:
         return request.expires_at_ns
     return min(request.objective_deadline_ns, request.expires_at_ns)
--- a/balancer/policy_api.py
+++ b/balancer/policy_api.py
@@ -100,7 +100,7 @@
     """How long a client waits in total, including its own retries."""
     priority_weight: float
     """Worth of an answer, relative to other classes."""
-    late_answer_value: float = 0.0
+    late_response_value: float = 0.0
     """Share of the weight that an answer after the latency objective still has."""
     idempotency: Idempotency = Idempotency.IDEMPOTENT
     deduplication_scope: DeduplicationScope = DeduplicationScope.ALL
--- a/balancer/settings_parser.py
+++ b/balancer/settings_parser.py
@@ -85,7 +85,7 @@
         latency_objective_ns=fields.read_integer("AimNs", low=1),
         client_timeout_ns=fields.read_integer("HardLimitNs", low=1),
         priority_weight=fields.read_number("Importance", 0),
-        late_answer_value=fields.read_number("LateWorth", 0),
+        late_response_value=fields.read_number("LateWorth", 0),
         idempotency=fields.read_choice("Effect", _IDEMPOTENCY_BY_NAME),
         deduplication_scope=fields.read_choice("KeyScope", _SCOPE_BY_NAME, "all"),
         deduplication_window_ns=fields.read_integer("WindowNs", 0),
--- a/soak/deployment.py
+++ b/soak/deployment.py
@@ -71,7 +71,7 @@
     """The longest time that a client waits."""
     share: float
     """Share of all requests."""
-    late_answer_value: float = 0.3
+    late_response_value: float = 0.3
     """Value of a response after the objective; where it is 0 an attempt is cancelled then."""
     deduplication_scope: DeduplicationScope = DeduplicationScope.ALL
     deduplication_window_seconds: float = 5.0
@@ -149,7 +149,7 @@
         objective_seconds=0.3,
         timeout_seconds=1.2,
         share=0.4,
-        late_answer_value=random.choice(LATE_ANSWER_VALUES),
+        late_response_value=random.choice(LATE_ANSWER_VALUES),
     )
     change = RequestClass(
         name="change",
@@ -157,7 +157,7 @@
         objective_seconds=0.3,
         timeout_seconds=random.choice((0.6, 1.0)),
         share=0.35,
-        late_answer_value=random.choice(LATE_ANSWER_VALUES),
+        late_response_value=random.choice(LATE_ANSWER_VALUES),
         deduplication_scope=random.choice(list(DeduplicationScope)),
         deduplication_window_seconds=random.choice((0.3, 0.75)),
     )
--- a/soak/sidecar/settings_document.py
+++ b/soak/sidecar/settings_document.py
@@ -89,7 +89,7 @@
         "AimNs": _nanoseconds(request_class.objective_seconds),
         "HardLimitNs": _nanoseconds(request_class.timeout_seconds),
         "Importance": DEFAULT_PRIORITY_WEIGHT if is_retryable else NOT_IDEMPOTENT_PRIORITY_WEIGHT,
-        "LateWorth": request_class.late_answer_value,
+        "LateWorth": request_class.late_response_value,
         "KeyScope": request_class.deduplication_scope.value,
         "WindowNs": _nanoseconds(request_class.deduplication_window_seconds),
         "Stream": False,
--- a/tests/policy/characterization_scenarios.py
+++ b/tests/policy/characterization_scenarios.py
@@ -33,7 +33,7 @@
     latency_objective_ns=300 * MILLISECOND_NS,
     client_timeout_ns=1500 * MILLISECOND_NS,
     priority_weight=1.0,
-    late_answer_value=0.5,
+    late_response_value=0.5,
 )
 BROWSE = RequestClass(
     "browse",
@@ -46,7 +46,7 @@
     latency_objective_ns=500 * MILLISECOND_NS,
     client_timeout_ns=2500 * MILLISECOND_NS,
     priority_weight=3.0,
-    late_answer_value=0.0,
+    late_response_value=0.0,
     idempotency=Idempotency.IDEMPOTENCY_KEY,
     deduplication_scope=DeduplicationScope.ZONE,
     deduplication_window_ns=900 * MILLISECOND_NS,
@@ -56,7 +56,7 @@
     latency_objective_ns=400 * MILLISECOND_NS,
     client_timeout_ns=2000 * MILLISECOND_NS,
     priority_weight=3.0,
-    late_answer_value=0.2,
+    late_response_value=0.2,
     idempotency=Idempotency.IDEMPOTENCY_KEY,
     deduplication_scope=DeduplicationScope.CELL,
     deduplication_window_ns=5 * SECOND_NS,
@@ -66,7 +66,7 @@
     latency_objective_ns=600 * MILLISECOND_NS,
     client_timeout_ns=3000 * MILLISECOND_NS,
     priority_weight=6.0,
-    late_answer_value=0.1,
+    late_response_value=0.1,
     idempotency=Idempotency.NOT_IDEMPOTENT,
 )
 SEARCH = RequestClass(
@@ -74,7 +74,7 @@
     latency_objective_ns=2 * SECOND_NS,
     client_timeout_ns=3 * SECOND_NS,
     priority_weight=1.0,
-    late_answer_value=0.5,
+    late_response_value=0.5,
 )
 CLASSES = (READ, BROWSE, CHANGE, MOVE, BILL)
 
--- a/tests/policy/invariant_steps.py
+++ b/tests/policy/invariant_steps.py
@@ -177,7 +177,7 @@
     idempotency=st.sampled_from(list(Idempotency)),
     deduplication_scope=st.sampled_from(list(DeduplicationScope)),
     deduplication_window_ns=st.sampled_from([50 * MILLISECOND_NS, 5 * SECOND_NS]),
-    late_answer_value=st.sampled_from([0.0, 0.5]),
+    late_response_value=st.sampled_from([0.0, 0.5]),
 )
 SETTINGS = st.builds(
     build_settings,
--- a/tests/policy/test_balancer.py
+++ b/tests/policy/test_balancer.py
@@ -9,7 +9,7 @@
 
 
 def test_started_stream_has_no_deadline_and_is_not_retried() -> None:
-    harness = BalancerHarness(settings(request_class(late_answer_value=0.5)), endpoint_count=8)
+    harness = BalancerHarness(settings(request_class(late_response_value=0.5)), endpoint_count=8)
     attempt = harness.start_attempt()
     assert harness.handle(StreamStarted(attempt.request_id)) == []
     harness.now_ns += 30 * SECOND_NS
--- a/tests/policy/test_fleet.py
+++ b/tests/policy/test_fleet.py
@@ -18,7 +18,7 @@
 KEYS = 600
 
 BURST_SETTINGS = settings(
-    request_class(late_answer_value=0.5, client_timeout_ns=2500 * MILLISECOND_NS),
+    request_class(late_response_value=0.5, client_timeout_ns=2500 * MILLISECOND_NS),
     key_affinity=True,
     health_checks_enabled=True,
     connection_price=0.06,
--- a/tests/policy/test_load_probing.py
+++ b/tests/policy/test_load_probing.py
@@ -45,7 +45,7 @@
         "load_report_fields": ("rif",),
     }
     probing.update(overrides)
-    harness = BalancerHarness(settings(request_class(late_answer_value=0.5), **probing), endpoint_count=0)
+    harness = BalancerHarness(settings(request_class(late_response_value=0.5), **probing), endpoint_count=0)
     harness.update_endpoints(*(endpoint(number, zone=number % 2) for number in range(1, 17)))
     return harness
 
--- a/tests/policy/test_outlier_detection.py
+++ b/tests/policy/test_outlier_detection.py
@@ -70,7 +70,7 @@
 ) -> None:
     """If a third of all connects fail, single failures eject half the endpoints and overload the others."""
     harness = BalancerHarness(
-        settings(request_class(late_answer_value=0.5), max_attempts=1), endpoint_count=8
+        settings(request_class(late_response_value=0.5), max_attempts=1), endpoint_count=8
     )
     for index in range(400):
         harness.now_ns += 20 * MILLISECOND_NS
--- a/tests/policy/test_overload.py
+++ b/tests/policy/test_overload.py
@@ -157,8 +157,8 @@
     detector = harness.balancer.overload
     detector.queueing.attempts = AttemptCounts(total=40.0, remote=float(remote_attempts))
     detector.queueing.evidence = [
-        QueueingEvidence(delay_sum=1.0, sample_count=10.0, attempt_count=10.0, answer_count=10.0),
-        QueueingEvidence(delay_sum=30.0, sample_count=30.0, attempt_count=30.0, answer_count=10.0),
+        QueueingEvidence(delay_sum=1.0, sample_count=10.0, attempt_count=10.0, response_count=10.0),
+        QueueingEvidence(delay_sum=30.0, sample_count=30.0, attempt_count=30.0, response_count=10.0),
     ]
     detector.spillover.ratio = 0.0
     harness.balancer.control_cycle.adjust_load(harness.now_ns)
@@ -177,13 +177,13 @@
     """While queues drain there are more answers than attempts, and the answers to old attempts are late."""
     balancer = harness.balancer
     balancer.overload.queueing.evidence[0] = QueueingEvidence(
-        delay_sum=20.0, sample_count=20.0, attempt_count=10.0, answer_count=20.0
+        delay_sum=20.0, sample_count=20.0, attempt_count=10.0, response_count=20.0
     )
     balancer.admission.arrivals.keyless[0] = 100.0
     balancer.control_cycle.adjust_load(harness.now_ns)
     assert harness.threshold == 0
     balancer.overload.queueing.evidence[0] = QueueingEvidence(
-        delay_sum=20.0, sample_count=20.0, attempt_count=20.0, answer_count=10.0
+        delay_sum=20.0, sample_count=20.0, attempt_count=20.0, response_count=10.0
     )
     balancer.control_cycle.adjust_load(harness.now_ns)
     assert harness.threshold > 0
--- a/tests/policy/test_retry.py
+++ b/tests/policy/test_retry.py
@@ -27,7 +27,7 @@
     idempotency: Idempotency, outcome: AttemptOutcome
 ) -> None:
     harness = BalancerHarness(
-        settings(request_class(idempotency=idempotency, late_answer_value=0.5)), endpoint_count=8
+        settings(request_class(idempotency=idempotency, late_response_value=0.5)), endpoint_count=8
     )
     for _ in range(30):
         harness.complete(harness.start_attempt())
@@ -57,7 +57,7 @@
         idempotency=Idempotency.IDEMPOTENCY_KEY,
         deduplication_scope=scope,
         deduplication_window_ns=200 * MILLISECOND_NS,
-        late_answer_value=0.5,
+        late_response_value=0.5,
     )
     harness = BalancerHarness(settings(keyed, zone_count=2), endpoint_count=0)
     harness.update_endpoints(*(endpoint(number, zone=number % 2, cell=number % 4) for number in range(1, 17)))
@@ -79,7 +79,7 @@
 
 
 def test_retries_keep_to_the_budget_and_stop_during_overload() -> None:
-    harness = BalancerHarness(settings(request_class(late_answer_value=0.5)), endpoint_count=8)
+    harness = BalancerHarness(settings(request_class(late_response_value=0.5)), endpoint_count=8)
     retries = 0
     for _ in range(200):
         attempt = harness.start_attempt()
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -96,7 +96,7 @@
 def test_rejected_attempts_add_no_tokens() -> None:
     """With many retries, a fixed share of the attempts would exceed the capacity of warming endpoints."""
     harness = BalancerHarness(
-        settings(request_class(late_answer_value=0.5), max_attempts=1), endpoint_count=0
+        settings(request_class(late_response_value=0.5), max_attempts=1), endpoint_count=0
     )
     harness.update_endpoints(
         *(
@@ -113,7 +113,7 @@
 
 def test_warming_endpoints_get_no_further_attempts_of_a_request() -> None:
     """A retry needs a warm endpoint."""
-    harness = BalancerHarness(settings(request_class(late_answer_value=0.5)), endpoint_count=0)
+    harness = BalancerHarness(settings(request_class(late_response_value=0.5)), endpoint_count=0)
     warming = (endpoint(number, started_at_ns=START_NS - 4 * SECOND_NS) for number in range(2, 9))
     harness.update_endpoints(endpoint(1), *warming)
     for _ in range(40):
--- a/tests/policy/test_spillover.py
+++ b/tests/policy/test_spillover.py
@@ -12,7 +12,7 @@
 def test_spillover_follows_the_difference_in_queueing_delay() -> None:
     harness = BalancerHarness(
         settings(
-            request_class(late_answer_value=0.5),
+            request_class(late_response_value=0.5),
             health_checks_enabled=True,
             zone_count=2,
             load_report_fields=("rif",),
@@ -24,15 +24,15 @@
     harness.handle(request_received(1, harness.now_ns + 3 * SECOND_NS))
     balancer = harness.balancer
     balancer.overload.queueing.evidence = [
-        QueueingEvidence(delay_sum=6.0, sample_count=10.0, attempt_count=10.0, answer_count=10.0),
-        QueueingEvidence(delay_sum=0.0, sample_count=10.0, attempt_count=10.0, answer_count=10.0),
+        QueueingEvidence(delay_sum=6.0, sample_count=10.0, attempt_count=10.0, response_count=10.0),
+        QueueingEvidence(delay_sum=0.0, sample_count=10.0, attempt_count=10.0, response_count=10.0),
     ]
     balancer.control_cycle.adjust_load(harness.now_ns + SECOND_NS)
     raised_ratio = balancer.overload.spillover.ratio
     assert 0 < raised_ratio < 0.5
     balancer.overload.queueing.evidence = [
-        QueueingEvidence(delay_sum=1.0, sample_count=10.0, attempt_count=10.0, answer_count=10.0),
-        QueueingEvidence(delay_sum=3.0, sample_count=10.0, attempt_count=10.0, answer_count=10.0),
+        QueueingEvidence(delay_sum=1.0, sample_count=10.0, attempt_count=10.0, response_count=10.0),
+        QueueingEvidence(delay_sum=3.0, sample_count=10.0, attempt_count=10.0, response_count=10.0),
     ]
     balancer.control_cycle.adjust_load(harness.now_ns + SECOND_NS)
     assert balancer.overload.spillover.ratio < raised_ratio
--- a/tests/test_settings_parser.py
+++ b/tests/test_settings_parser.py
@@ -22,7 +22,7 @@
     assert request_class.idempotency == Idempotency.IDEMPOTENCY_KEY
     assert request_class.deduplication_scope == DeduplicationScope.CELL
     assert request_class.priority_weight == 2
-    assert request_class.late_answer_value == 0
+    assert request_class.late_response_value == 0
     assert settings.streams_per_connection == 1
     assert parse_changed(Limits={"StreamsPerConn": 100}).streams_per_connection == 100
 
