--- a/balancer/policy/balancer.py
+++ b/balancer/policy/balancer.py
@@ -50,7 +50,7 @@
         self.overload = OverloadDetector(settings)
         self.admission = AdmissionControl(settings)
         self.gossip = Gossip(settings, self.random, self.admission, self.overload)
-        self.budget = ConnectionBudget(settings.instance_count)
+        self.budget = ConnectionBudget(settings.sidecar_count)
         self.accounting = AttemptAccounting(settings.streams_per_connection)
         self.subsets = SubsetSelector(settings, self.random, self.accounting, self.budget)
         self.outliers = OutlierDetector(settings, self.random, self.subsets)
--- a/balancer/policy/endpoints/membership.py
+++ b/balancer/policy/endpoints/membership.py
@@ -22,7 +22,7 @@
     def __init__(self, settings: Settings, random: Random) -> None:
         self._class_count = len(settings.classes)
         self._last_zone = settings.zone_count - 1
-        self._rank_salt = mix64(settings.instance_index)  # the same after a restart of the sidecar
+        self._rank_salt = mix64(settings.sidecar_index)  # the same after a restart of the sidecar
         self.polling = DiscoveryPolling(settings, random)
         self.endpoints: dict[EndpointId, EndpointState] = {}
 
--- a/balancer/policy/overload/gossip.py
+++ b/balancer/policy/overload/gossip.py
@@ -46,7 +46,7 @@
     def share(self) -> list[SendGossip]:
         """Halve all sums, and return the message that carries the other half if there is a recipient."""
         settings = self._settings
-        if not settings.gossip_enabled or settings.instance_count <= 1:
+        if not settings.gossip_enabled or settings.sidecar_count <= 1:
             return []
         message = self._current_message()
         message.scale(KEPT_SHARE, MAX_VALUE)
@@ -63,8 +63,8 @@
 
     def _draw_recipient(self) -> int:
         """Return the index of a random other sidecar."""
-        recipient_index = int(self._random.random() * (self._settings.instance_count - 1))
-        if recipient_index >= self._settings.instance_index:
+        recipient_index = int(self._random.random() * (self._settings.sidecar_count - 1))
+        if recipient_index >= self._settings.sidecar_index:
             recipient_index += 1
         return recipient_index
 
--- a/balancer/policy/overload/priority_levels.py
+++ b/balancer/policy/overload/priority_levels.py
@@ -28,7 +28,7 @@
         self._business_level_by_class = [
             weights.index(request_class.priority_weight) for request_class in settings.classes
         ]
-        self._instance_index = settings.instance_index
+        self._instance_index = settings.sidecar_index
         self.business_level_count = len(weights)
 
     def business_level(self, event: RequestReceived) -> int:
--- a/balancer/policy/selection/slow_start.py
+++ b/balancer/policy/selection/slow_start.py
@@ -120,7 +120,7 @@
 
     def _min_tokens(self, candidate_count: int) -> float:
         """Return this sidecar's share of one token per second and endpoint, per control cycle."""
-        return candidate_count / self._settings.instance_count * CYCLE_NS / SECOND_NS
+        return candidate_count / self._settings.sidecar_count * CYCLE_NS / SECOND_NS
 
     def _add_missing_tokens(self, warming_capacity: float, min_tokens: float) -> None:
         """Add the tokens by which the responses of this control cycle fell short of the usual number.
--- a/balancer/policy_api.py
+++ b/balancer/policy_api.py
@@ -123,9 +123,9 @@
     """The settings of one sidecar. Prices are in units of the mean weight of a request."""
 
     classes: tuple[RequestClass, ...]
-    instance_index: int = 0
+    sidecar_index: int = 0
     """The index of this sidecar among all, from 0."""
-    instance_count: int = 1
+    sidecar_count: int = 1
     """The number of sidecars."""
     local_zone: int = 0
     zone_count: int = 1
--- a/balancer/settings_parser.py
+++ b/balancer/settings_parser.py
@@ -63,7 +63,7 @@
     if not classes:
         raise SettingsError("Categories", "is empty")
     settings = Settings(classes=classes)
-    settings = _add_instance(settings, top)
+    settings = _add_sidecar_position(settings, top)
     settings = _add_tenants(settings, top)
     settings = _add_discovery(settings, top)
     settings = _add_limits(settings, top.read_object("Limits"))
@@ -93,12 +93,12 @@
     )
 
 
-def _add_instance(settings: Settings, top: JsonObject) -> Settings:
+def _add_sidecar_position(settings: Settings, top: JsonObject) -> Settings:
     """Add the position of this sidecar among all of them, and its zone."""
     return replace(
         settings,
-        instance_index=top.read_integer("Position", 0),
-        instance_count=top.read_integer("NInstances", 1, low=1),
+        sidecar_index=top.read_integer("Position", 0),
+        sidecar_count=top.read_integer("NInstances", 1, low=1),
         local_zone=top.read_integer("Zone", 0),
         zone_count=max(1, len(top.read_list("Azs"))),
     )
--- a/benchmarks/membership_cost.py
+++ b/benchmarks/membership_cost.py
@@ -189,7 +189,7 @@
     return fastest_seconds * MICROSECONDS_PER_SECOND
 
 
-def _settings(instance_count: int) -> Settings:
+def _settings(sidecar_count: int) -> Settings:
     request_class = RequestClass(
         name="read",
         latency_objective_ns=LATENCY_OBJECTIVE_NS,
@@ -198,7 +198,7 @@
     )
     return Settings(
         classes=(request_class,),
-        instance_count=instance_count,
+        sidecar_count=sidecar_count,
         zone_count=ZONE_COUNT,
         health_checks_enabled=True,
         handshake_price=0.06,
--- a/tests/builders.py
+++ b/tests/builders.py
@@ -27,8 +27,8 @@
 class SettingsOverrides(TypedDict, total=False):
     """The fields of `Settings` that a test may set."""
 
-    instance_index: int
-    instance_count: int
+    sidecar_index: int
+    sidecar_count: int
     zone_count: int
     tenants: tuple[Tenant, ...]
     polls_discovery: bool
--- a/tests/policy/characterization_scenarios.py
+++ b/tests/policy/characterization_scenarios.py
@@ -103,8 +103,8 @@
     "three_zones_priced": Scenario(
         Settings(
             CLASSES,
-            instance_index=3,
-            instance_count=40,
+            sidecar_index=3,
+            sidecar_count=40,
             zone_count=3,
             slow_start_capacity=0.4,
             slow_start_duration_ns=8 * SECOND_NS,
@@ -150,7 +150,7 @@
     "gossip": Scenario(
         Settings(
             CLASSES,
-            instance_count=3,
+            sidecar_count=3,
             zone_count=2,
             gossip_enabled=True,
             max_attempts=3,
@@ -164,8 +164,8 @@
     "key_affinity_few_connections": Scenario(
         Settings(
             CLASSES,
-            instance_index=7,
-            instance_count=60,
+            sidecar_index=7,
+            sidecar_count=60,
             zone_count=2,
             key_affinity=True,
             connection_price=0.1,
--- a/tests/policy/fleet_simulation.py
+++ b/tests/policy/fleet_simulation.py
@@ -100,8 +100,8 @@
     def _sidecar_settings(self, index: int, sidecar_count: int) -> Settings:
         return replace(
             self.settings,
-            instance_index=index,
-            instance_count=sidecar_count,
+            sidecar_index=index,
+            sidecar_count=sidecar_count,
             local_zone=index % self.settings.zone_count,
         )
 
--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -26,8 +26,8 @@
 
 
 def test_user_levels_agree_between_instances_and_change_hourly() -> None:
-    one = BalancerHarness(two_priority_settings(instance_index=1, instance_count=9))
-    other = BalancerHarness(two_priority_settings(instance_index=2, instance_count=9))
+    one = BalancerHarness(two_priority_settings(sidecar_index=1, sidecar_count=9))
+    other = BalancerHarness(two_priority_settings(sidecar_index=2, sidecar_count=9))
 
     def levels(harness: BalancerHarness, at_ns: int) -> list[int]:
         control = harness.balancer.admission
@@ -96,15 +96,15 @@
 def test_keyless_instances_shed_smoothly_as_a_fleet(tenants: tuple[Tenant, ...]) -> None:
     """Without keys an instance has one user level; tenants must not put a third of the fleet on one level."""
 
-    def is_admitted(instance_index: int, threshold: int) -> bool:
-        config = settings(instance_index=instance_index, instance_count=200, tenants=tenants)
+    def is_admitted(sidecar_index: int, threshold: int) -> bool:
+        config = settings(sidecar_index=sidecar_index, sidecar_count=200, tenants=tenants)
         harness = BalancerHarness(config, endpoint_count=2)
         harness.balancer.admission.threshold = float(threshold)
-        action = harness.request(tenant_index=instance_index % 3 if tenants else 0)
+        action = harness.request(tenant_index=sidecar_index % 3 if tenants else 0)
         return isinstance(action, StartAttempt)
 
     admitted = [
-        sum(is_admitted(instance_index, threshold) for instance_index in range(200))
+        sum(is_admitted(sidecar_index, threshold) for sidecar_index in range(200))
         for threshold in (0, 32, 64, 96, 128)
     ]
     assert admitted[0] == 200
--- a/tests/policy/test_connection_budget.py
+++ b/tests/policy/test_connection_budget.py
@@ -13,7 +13,7 @@
 
 def test_connections_keep_to_the_share_of_a_sidecar() -> None:
     """With key affinity and large subsets, many sidecars would fill the endpoints' connection tables."""
-    harness = BalancerHarness(settings(key_affinity=True, instance_count=100), endpoint_count=50)
+    harness = BalancerHarness(settings(key_affinity=True, sidecar_count=100), endpoint_count=50)
     share = int(connection_budget.INITIAL_FAN_IN * 50 / 100)
     used = {harness.start_attempt(key_hash=key_hash).endpoint_id for key_hash in range(1, 200)}
     assert len(used) == share
@@ -21,7 +21,7 @@
 
 
 def test_connect_failures_reduce_the_fan_in_for_a_while() -> None:
-    harness = BalancerHarness(settings(key_affinity=True, instance_count=100), endpoint_count=50)
+    harness = BalancerHarness(settings(key_affinity=True, sidecar_count=100), endpoint_count=50)
     budget = harness.balancer.budget
     for _ in range(5):  # within a second: one full connection table refuses several
         harness.complete(harness.start_attempt(), AttemptOutcome.CONNECT_FAILED, MILLISECOND_NS)
--- a/tests/policy/test_endpoint_picker.py
+++ b/tests/policy/test_endpoint_picker.py
@@ -16,7 +16,7 @@
     endpoints_by_key: dict[int, set[EndpointId]] = {7: set(), 8: set(), 9: set()}
     for sidecar in range(12):
         harness = BalancerHarness(
-            settings(key_affinity=True, instance_index=sidecar, instance_count=12),
+            settings(key_affinity=True, sidecar_index=sidecar, sidecar_count=12),
             endpoint_count=40,
             seed=sidecar,
         )
--- a/tests/policy/test_gossip.py
+++ b/tests/policy/test_gossip.py
@@ -11,9 +11,9 @@
 
 def test_instances_share_evidence_and_the_threshold() -> None:
     """So an instance that was restarted takes up the threshold of the others."""
-    running = BalancerHarness(two_priority_settings(gossip_enabled=True, instance_count=2, instance_index=0))
+    running = BalancerHarness(two_priority_settings(gossip_enabled=True, sidecar_count=2, sidecar_index=0))
     restarted = BalancerHarness(
-        two_priority_settings(gossip_enabled=True, instance_count=2, instance_index=1)
+        two_priority_settings(gossip_enabled=True, sidecar_count=2, sidecar_index=1)
     )
     for _ in range(5):
         running.tick()
@@ -29,7 +29,7 @@
 
 @pytest.mark.parametrize("payload", [b"", b"x" * 5, b"\xff" * 256, bytes(range(200))])
 def test_malformed_payload_does_no_harm(payload: bytes) -> None:
-    harness = BalancerHarness(two_priority_settings(gossip_enabled=True, instance_count=2))
+    harness = BalancerHarness(two_priority_settings(gossip_enabled=True, sidecar_count=2))
     harness.handle(GossipReceived(1, payload))
     message_bytes = harness.balancer.gossip.codec.message_bytes
     harness.handle(GossipReceived(1, (payload * 50)[:message_bytes].ljust(message_bytes, b"\xff")))
--- a/tests/policy/test_outlier_detection.py
+++ b/tests/policy/test_outlier_detection.py
@@ -104,7 +104,7 @@
 
 def test_ejected_endpoint_returns_after_successful_health_check() -> None:
     harness = BalancerHarness(
-        settings(health_checks_enabled=True, gossip_enabled=True, instance_count=2), endpoint_count=4
+        settings(health_checks_enabled=True, gossip_enabled=True, sidecar_count=2), endpoint_count=4
     )
     unresponsive = harness.endpoint(1)
     unresponsive.in_flight = outlier_detection.MIN_IN_FLIGHT_TO_EJECT
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -15,7 +15,7 @@
     attempts_to_warming = 0
     for seed in range(100):
         harness = BalancerHarness(
-            settings(instance_index=seed, instance_count=100), endpoint_count=0, seed=seed
+            settings(sidecar_index=seed, sidecar_count=100), endpoint_count=0, seed=seed
         )
         harness.update_endpoints(
             *(
@@ -33,7 +33,7 @@
     attempts = Counter[int]()
     for seed in range(100):
         harness = BalancerHarness(
-            settings(instance_index=seed, instance_count=100, cold_overload_multiple=2.5),
+            settings(sidecar_index=seed, sidecar_count=100, cold_overload_multiple=2.5),
             endpoint_count=0,
             seed=seed,
         )
