--- a/balancer/policy_api.py
+++ b/balancer/policy_api.py
@@ -139,7 +139,7 @@
     """Share of its full load that an endpoint can take at least just after its start."""
     slow_start_duration_ns: int = 0
     """Time after its start from which an endpoint can take its full load."""
-    cold_overload_multiple: float = 2.0
+    warming_overload_multiple: float = 2.0
     max_attempts: int = 3
     streams_per_connection: int = 1
     attempts_can_be_cancelled: bool = False
--- a/balancer/settings_parser.py
+++ b/balancer/settings_parser.py
@@ -144,7 +144,7 @@
         settings,
         slow_start_capacity=rules.read_number("ColdFrom", 1),
         slow_start_duration_ns=rules.read_integer("ColdNs", 0),
-        cold_overload_multiple=rules.read_number("FallMultiple", 2),
+        warming_overload_multiple=rules.read_number("FallMultiple", 2),
     )
 
 
--- a/tests/builders.py
+++ b/tests/builders.py
@@ -35,7 +35,7 @@
     discovery_poll_window_ns: int
     slow_start_capacity: float
     slow_start_duration_ns: int
-    cold_overload_multiple: float
+    warming_overload_multiple: float
     max_attempts: int
     streams_per_connection: int
     gossip_enabled: bool
--- a/tests/policy/test_fleet.py
+++ b/tests/policy/test_fleet.py
@@ -29,7 +29,7 @@
     BURST_SETTINGS,
     slow_start_capacity=0.31,
     slow_start_duration_ns=8500 * MILLISECOND_NS,
-    cold_overload_multiple=3.0,
+    warming_overload_multiple=3.0,
 )
 BUDGET_WINDOW_NS = 3 * SECOND_NS
 """The time over which the attempts to a warming server are summed up."""
@@ -61,7 +61,7 @@
         while window[0] <= attempt_time_ns - BUDGET_WINDOW_NS:
             window.popleft()
         rate = server.capacity(window[0], fleet.settings) * server.cores / WORK_NS
-        budget = fleet.settings.cold_overload_multiple * rate * BUDGET_WINDOW_NS
+        budget = fleet.settings.warming_overload_multiple * rate * BUDGET_WINDOW_NS
         peak = max(peak, len(window) / (budget + 2 * budget**0.5 + 2))
     return peak
 
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -33,7 +33,7 @@
     attempts = Counter[int]()
     for seed in range(100):
         harness = BalancerHarness(
-            settings(sidecar_index=seed, sidecar_count=100, cold_overload_multiple=2.5),
+            settings(sidecar_index=seed, sidecar_count=100, warming_overload_multiple=2.5),
             endpoint_count=0,
             seed=seed,
         )
