--- a/balancer/json_object.py
+++ b/balancer/json_object.py
@@ -79,16 +79,16 @@
             objects.append(JsonObject(value, self.make_error))
         return objects
 
-    def read_number(self, key: str, default: float | None = None, low: float = 0) -> float:
-        """Return a finite number of at least `low`; it is required where there is no default."""
+    def read_number(self, key: str, default: float | None = None, minimum: float = 0) -> float:
+        """Return a finite number of at least `minimum`; it is required where there is no default."""
         value = self._fields.get(key, default)
-        if not is_number(value) or not low <= value < math.inf:
+        if not is_number(value) or not minimum <= value < math.inf:
             raise self.make_error(key, f"is {value!r}", value)
         return value
 
-    def read_integer(self, key: str, default: float | None = None, low: float = 0) -> int:
+    def read_integer(self, key: str, default: float | None = None, minimum: float = 0) -> int:
         """Return the whole part of a number that `read_number` allows."""
-        return int(self.read_number(key, default, low))
+        return int(self.read_number(key, default, minimum))
 
     def read_choice(self, key: str, choices: Mapping[str, Choice], default: str | None = None) -> Choice:
         """Return what a text stands for in `choices`; it is required where there is no default."""
--- a/balancer/settings_parser.py
+++ b/balancer/settings_parser.py
@@ -74,7 +74,7 @@
         settings,
         weight_by_work=top.get("WorthBy") == "work",
         key_affinity=top.read_object("Extra").read_flag("WarmKeys"),
-        scheduling_tick_ns=top.read_integer("TickNs", DEFAULT_SCHEDULING_TICK_NS, low=1),
+        scheduling_tick_ns=top.read_integer("TickNs", DEFAULT_SCHEDULING_TICK_NS, minimum=1),
     )
 
 
@@ -82,8 +82,8 @@
     """Return one entry of `Categories`."""
     return RequestClass(
         name=fields.read_text("Name"),
-        latency_objective_ns=fields.read_integer("AimNs", low=1),
-        client_timeout_ns=fields.read_integer("HardLimitNs", low=1),
+        latency_objective_ns=fields.read_integer("AimNs", minimum=1),
+        client_timeout_ns=fields.read_integer("HardLimitNs", minimum=1),
         priority_weight=fields.read_number("Importance", 0),
         late_response_value=fields.read_number("LateWorth", 0),
         idempotency=fields.read_choice("Effect", _IDEMPOTENCY_BY_NAME),
@@ -98,7 +98,7 @@
     return replace(
         settings,
         sidecar_index=top.read_integer("Position", 0),
-        sidecar_count=top.read_integer("NInstances", 1, low=1),
+        sidecar_count=top.read_integer("NInstances", 1, minimum=1),
         local_zone=top.read_integer("Zone", 0),
         zone_count=max(1, len(top.read_list("Azs"))),
     )
@@ -128,8 +128,8 @@
     clients_heed_retry_after = limits.read_flag("RetryAfter")
     return replace(
         settings,
-        max_attempts=limits.read_integer("MaxAttempts", 1, low=1),
-        streams_per_connection=limits.read_integer("StreamsPerConn", 1, low=1),
+        max_attempts=limits.read_integer("MaxAttempts", 1, minimum=1),
+        streams_per_connection=limits.read_integer("StreamsPerConn", 1, minimum=1),
         attempts_can_be_cancelled=limits.read_flag("Cancel"),
         concurrent_attempts_allowed=limits.read_flag("ParallelTries"),
         gossip_enabled=limits.read_flag("Peers"),
--- a/balancer/sidecar/configuration.py
+++ b/balancer/sidecar/configuration.py
@@ -136,8 +136,8 @@
         settings=replace(settings, streams_per_connection=1),
         name_indices=names,
         load_reports_enabled=bool(settings.load_report_fields),
-        connect_timeout_ns=limits.read_integer("ConnectTimeoutNs", DEFAULT_CONNECT_TIMEOUT_NS, low=1),
-        connection_idle_timeout_ns=limits.read_integer("ConnIdleNs", DEFAULT_IDLE_TIMEOUT_NS, low=1),
+        connect_timeout_ns=limits.read_integer("ConnectTimeoutNs", DEFAULT_CONNECT_TIMEOUT_NS, minimum=1),
+        connection_idle_timeout_ns=limits.read_integer("ConnIdleNs", DEFAULT_IDLE_TIMEOUT_NS, minimum=1),
         cached_endpoints=_read_cached_endpoints(top, names),
     )
 
