--- a/balancer/gossip_codec.py
+++ b/balancer/gossip_codec.py
@@ -1,9 +1,18 @@
-"""The messages between sidecars and their bytes.
+"""The gossip messages between sidecars, and their encoding as bytes.
 
-A message is little-endian: the sender's zone (u8), its admission threshold (f32, -1 if it has none yet), then
-as half floats the queueing evidence of each zone, the arrivals without keys of each business level, and the
-latency samples of each class. All sidecars of a deployment have the same zones and classes, so all messages
-are of one length.
+A message is little-endian and consists of:
+
+- the sender's zone (u8),
+- its admission threshold (f32, -1 if it has none yet),
+- the queueing evidence of each zone,
+- the number of arriving requests without a key (see `RequestReceived.key_hash`) of each business level,
+- the latency samples of each class.
+
+All but the first two are half floats. All sidecars of a deployment have the same zones and classes, so all
+messages have the same length.
+
+A queueing delay is measured as a share of the slack of its request class, which is the latency objective less
+the latency without queueing.
 """
 
 from __future__ import annotations
@@ -15,26 +24,29 @@
 from struct import Struct
 
 MAX_VALUE = 60_000.0
-"""Largest sum in a message: a half float holds little more, and a larger number would be a fault."""
+"""The largest sum in a message: a half float holds little more, and a larger number would be a fault."""
 
 MAX_MEAN_DELAY = 2.01
-"""Largest mean queueing delay in slacks: a delay is at most 2, the rest is for rounding to half floats."""
+"""The largest mean queueing delay, as a share of the slack.
+
+A single delay is at most 2; the rest is a margin for rounding to half floats.
+"""
 
 NO_THRESHOLD = -1.0
-"""Stands for the threshold of a sender that has none yet; thresholds are at least 0."""
+"""The encoding of the threshold of a sender that has none yet; thresholds are at least 0."""
 
 
 class SharedSums:
-    """Base of dataclasses with slots whose fields are sums that sidecars share."""
+    """Base class of dataclasses with slots whose fields are sums that sidecars share."""
 
     __slots__: tuple[str, ...] = ()
 
     def values(self) -> list[float]:
-        """Return the sums in the order of the message."""
+        """Return the sums in the order in which a message carries them."""
         return [getattr(self, name) for name in self.__slots__]
 
     def scale(self, factor: float, maximum: float = inf) -> None:
-        """Multiply the sums by a factor, and bound them."""
+        """Multiply the sums by a factor, and limit each to the maximum."""
         for name in self.__slots__:
             scaled = getattr(self, name) * factor
             setattr(self, name, min(scaled, maximum))
@@ -48,10 +60,10 @@
 
 @dataclass(slots=True)
 class QueueingEvidence(SharedSums):
-    """Attempts and answers in one zone, and samples of the queueing delay."""
+    """The number of attempts and of responses in one zone, and samples of the queueing delay there."""
 
     delay_sum: float = 0.0
-    """Delays as shares of the slack, each from some way below 0 to 2."""
+    """Sum of the delays as shares of the slack; each is at most 2 and may be negative."""
     sample_count: float = 0.0
     attempt_count: float = 0.0
     response_count: float = 0.0
@@ -59,35 +71,35 @@
 
 @dataclass(slots=True)
 class LatencySamples(SharedSums):
-    """Answers of one class."""
+    """Samples of the latency of the responses of one class."""
 
     latency_sum: float = 0.0
-    """Latencies as shares of the latency objective."""
+    """Sum of the latencies as shares of the latency objective."""
     sample_count: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
 class GossipMessage:
-    """What a sidecar shares with another."""
+    """What one sidecar shares with another."""
 
     zone: int
     """The zone of the sender."""
     admission_threshold: float | None
-    """None while the sender has no threshold of its own."""
+    """The threshold of the sender; None while it has none of its own."""
     queueing: list[QueueingEvidence]
-    """By zone."""
+    """The queueing evidence by zone."""
     keyless_arrivals: list[float]
-    """By business level."""
+    """The number of arrivals of requests without a key, by business level."""
     latencies: list[LatencySamples]
-    """By class."""
+    """The latency samples by class."""
 
     def scale(self, factor: float, maximum: float) -> None:
-        """Multiply all sums by a factor, and bound them."""
+        """Multiply all sums by a factor, and limit each to the maximum."""
         for evidence in self.queueing:
             evidence.scale(factor, maximum)
         for samples in self.latencies:
             samples.scale(factor, maximum)
-        self.keyless_arrivals[:] = [min(mass * factor, maximum) for mass in self.keyless_arrivals]
+        self.keyless_arrivals[:] = [min(count * factor, maximum) for count in self.keyless_arrivals]
 
     def add(self, other: GossipMessage) -> None:
         """Add the sums of another message."""
@@ -95,8 +107,8 @@
             own_evidence.add(other_evidence)
         for own_samples, other_samples in zip(self.latencies, other.latencies, strict=True):
             own_samples.add(other_samples)
-        for business_level, mass in enumerate(other.keyless_arrivals):
-            self.keyless_arrivals[business_level] += mass
+        for business_level, count in enumerate(other.keyless_arrivals):
+            self.keyless_arrivals[business_level] += count
 
 
 class GossipCodec:
@@ -118,7 +130,7 @@
 
     @property
     def message_bytes(self) -> int:
-        """The length of every message."""
+        """The length of every message, in bytes."""
         return self._layout.size
 
     def encode(self, message: GossipMessage) -> bytes:
@@ -133,7 +145,7 @@
         return self._layout.pack(message.zone, threshold, *values)
 
     def decode(self, payload: bytes) -> GossipMessage | None:
-        """Return the message, or None if it has another length or values that no sidecar sends."""
+        """Return the message, or None if the payload has another length or values that no sidecar sends."""
         if len(payload) != self._layout.size:
             return None
         zone, threshold, *values = self._layout.unpack(payload)
@@ -161,11 +173,11 @@
 
 
 def _has_valid_sums(message: GossipMessage) -> bool:
-    """Return whether all sums are in their ranges; a sum of delays may be negative."""
+    """Return whether all sums are in their ranges; only a sum of delays may be negative."""
     for evidence in message.queueing:
         if not abs(evidence.delay_sum) <= MAX_MEAN_DELAY * evidence.sample_count:
             return False
-    # Not negative and not too large; comparisons with a value that is no number are false as well.
+    # The other sums must be from 0 to MAX_VALUE. Comparisons with NaN are false, so NaN is invalid as well.
     nonnegative_sums = list(message.keyless_arrivals)
     for evidence in message.queueing:
         nonnegative_sums += (evidence.sample_count, evidence.attempt_count, evidence.response_count)
--- a/balancer/policy_api.py
+++ b/balancer/policy_api.py
@@ -1,7 +1,8 @@
-"""The settings of the decisions, the events they handle and the actions they return.
+"""The interface of the policy: its settings, the events that it handles and the actions that it returns.
 
-A `Balancer` handles one event at a time and returns the actions that answer it. All times are integers in
-nanoseconds and end in `_ns`: points in time are readings of the clock that comes with each event.
+A `Balancer` handles one event at a time and returns the actions to take in response. All durations and points
+in time are integers in nanoseconds, and their names end in `_ns`. A point in time is a reading of the clock
+whose current time accompanies each event.
 """
 
 from __future__ import annotations
@@ -20,13 +21,16 @@
     IDEMPOTENT = 0
     """It may be executed any number of times."""
     IDEMPOTENCY_KEY = 1
-    """The endpoints of a deduplication group drop repeats with the same key, for a limited time."""
+    """The endpoints of a deduplication group drop retries with the same key for a limited time."""
     NOT_IDEMPOTENT = 2
     """It must not be executed twice."""
 
 
 class DeduplicationScope(IntEnum):
-    """Which endpoints form a deduplication group: they drop repeats of what one of them executed."""
+    """Which endpoints form a deduplication group.
+
+    The endpoints of a group drop retries of a request that one of them executed.
+    """
 
     ALL = 0
     """All endpoints."""
@@ -51,13 +55,13 @@
     """How the entries of an `EndpointUpdate` relate to the current endpoint list."""
 
     DISCOVERY_FAILED = 0
-    """A call to discovery failed; there are no entries and the current list stays in use."""
+    """A call to discovery failed; there are no entries, and the current list stays in use."""
     CACHED = 1
-    """The complete list from a cache; it may be stale."""
+    """The entries are the complete list from a cache, which may be stale."""
     DELTA = 2
-    """The changed entries only."""
+    """The entries are only those that changed."""
     SNAPSHOT = 3
-    """The complete list."""
+    """The entries are the complete list."""
 
 
 class AttemptOutcome(IntEnum):
@@ -66,11 +70,11 @@
     SUCCESS = 0
     """The endpoint served the request."""
     SERVER_ERROR = 1
-    """The endpoint answered with an error; the request may have been executed."""
+    """The endpoint responded with an error; the request may have been executed."""
     REJECTED = 2
     """The endpoint rejected the request without executing it."""
     TIMEOUT = 3
-    """No answer arrived in time; the request may have been executed, or may yet be."""
+    """No response arrived in time; the request may have been executed, or may still be executed later."""
     CONNECT_FAILED = 4
     """No connection could be established, so the request was not executed."""
     CONNECTION_RESET = 5
@@ -78,9 +82,12 @@
     CANCELLED = 6
     """The attempt was cancelled; the request may have been executed."""
     NOT_SENT = 7
-    """At most a part was sent: the request had ended or had no time or attempts left, or room was short."""
+    """The request was not sent, or only a part of it, so it was not executed.
+
+    The request had ended, had no time or no attempts left, or the sidecar could not open another connection.
+    """
     CLIENT_ERROR = 8
-    """The endpoint found the request itself invalid, as any other endpoint would."""
+    """The endpoint found the request invalid, as any other endpoint would."""
 
 
 OUTCOMES_NEVER_EXECUTED = frozenset(
@@ -95,17 +102,17 @@
 
     name: str
     latency_objective_ns: int
-    """An answer within this time has the full weight."""
+    """The time within which a response has its full weight."""
     client_timeout_ns: int
     """How long a client waits in total, including its own retries."""
     priority_weight: float
-    """Worth of an answer, relative to other classes."""
+    """Weight of a response, relative to other classes."""
     late_response_value: float = 0.0
-    """Share of the weight that an answer after the latency objective still has."""
+    """Share of the weight that a response after the latency objective still has."""
     idempotency: Idempotency = Idempotency.IDEMPOTENT
     deduplication_scope: DeduplicationScope = DeduplicationScope.ALL
     deduplication_window_ns: int = 0
-    """How long repeats of a request with an idempotency key are dropped."""
+    """How long retries of a request with an idempotency key are dropped."""
     objective_stretch: float = 0.0
     """Part of the settings on the wire; no decision uses it."""
 
@@ -120,45 +127,60 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """The settings of one sidecar. Prices are in units of the mean weight of a request."""
+    """The settings of one sidecar. Prices (costs) are in units of the mean weight of a request.
+
+    Some fields are part of the settings on the wire, but no decision uses them.
+    """
 
     classes: tuple[RequestClass, ...]
     sidecar_index: int = 0
-    """The index of this sidecar among all, from 0."""
+    """The index of this sidecar among all sidecars, from 0."""
     sidecar_count: int = 1
     """The number of sidecars."""
     local_zone: int = 0
+    """The zone of this sidecar."""
     zone_count: int = 1
     tenants: tuple[Tenant, ...] = ()
     over_quota_weight: float = 1.0
+    """Weight of a request beyond the quota of its tenant; no decision uses it."""
     polls_discovery: bool = False
-    """Whether discovery has to be polled for endpoint lists; otherwise it pushes them."""
+    """Whether the sidecar has to poll discovery for endpoint lists; otherwise discovery pushes them."""
     discovery_poll_window_ns: int = 10_000_000_000
-    """Time after its start within which a sidecar has to poll discovery."""
+    """The time after its start within which a sidecar has to poll discovery."""
     slow_start_capacity: float = 1.0
-    """Share of its full load that an endpoint can take at least just after its start."""
+    """The least share of its full load that an endpoint can take just after its start."""
     slow_start_duration_ns: int = 0
-    """Time after its start from which an endpoint can take its full load."""
+    """The time after its start from which on an endpoint can take its full load."""
     warming_overload_multiple: float = 2.0
+    """Largest load of a warming endpoint, as a multiple of its capacity; no decision uses it."""
     max_attempts: int = 3
+    """The largest number of attempts of one request."""
     streams_per_connection: int = 1
+    """The number of requests that a connection can carry at a time."""
     attempts_can_be_cancelled: bool = False
+    """Whether `CancelAttempt` may be used."""
     concurrent_attempts_allowed: bool = False
+    """Whether a request may have several attempts in flight; no decision uses it."""
     gossip_enabled: bool = False
     health_checks_enabled: bool = False
     max_retry_after_ns: int = 0
-    """The longest `Retry-After` that clients respect; 0 if they get none."""
+    """The longest `Retry-After` that clients respect; 0 if responses carry none."""
     load_report_fields: tuple[str, ...] = ()
     """Names of the values of a load report, among: rif, q, busy, lat_ms, rate, fail_rate."""
     cross_zone_price: float = 0.0
+    """The price of an attempt in another zone."""
     handshake_price: float = 0.0
+    """The price of establishing a connection."""
     connection_price: float = 0.0
+    """The price of an open connection."""
     wasted_work_price: float = 0.0
+    """The price of wasted work; no decision uses it."""
     weight_by_work: bool = False
+    """Whether the weight of a request depends on its work; no decision uses it."""
     key_affinity: bool = False
-    """Whether an endpoint serves a key with less work if it served that key recently."""
+    """Whether an endpoint serves a request with less work if it recently served one with the same key."""
     scheduling_tick_ns: int = 5_000_000
-    """The least time between two scheduling turns of a sidecar."""
+    """The shortest interval between two times at which a sidecar is scheduled to run."""
 
 
 class Endpoint(NamedTuple):
@@ -168,16 +190,16 @@
     zone: int
     machine_class: int
     cell: int
-    """Part of a zone; see `DeduplicationScope`."""
+    """The part of its zone that it belongs to; see `DeduplicationScope`."""
     health: EndpointHealth
     weight: float
     """Registered capacity, relative to other endpoints."""
     started_at_ns: int
-    """Time of its most recent start; 0 if that was long ago."""
+    """The time of its most recent start; 0 if that was long ago."""
 
 
 class Started(NamedTuple):
-    """The first event of every instance."""
+    """The sidecar started: the first event that a policy handles."""
 
 
 class EndpointUpdate(NamedTuple):
@@ -188,7 +210,7 @@
 
 
 class RequestReceived(NamedTuple):
-    """A client sent a request, which has to get exactly one final answer."""
+    """A client sent a request, which has to get exactly one final response."""
 
     request_id: int
     class_index: int
@@ -196,9 +218,9 @@
     key_hash: int
     """Hash of the request's key; 0 if it has none."""
     expires_at_ns: int
-    """When the client gives up this request."""
+    """The deadline of the request: when the client gives up waiting for a response."""
     work_hint_ns: int
-    """Expected work; 0 if unknown."""
+    """The expected work; 0 if unknown."""
     is_retry: bool
     """Whether the client marked it as a retry."""
 
@@ -212,27 +234,28 @@
     outcome: AttemptOutcome
     duration_ns: int
     request_finished: bool
-    """Whether the request already had its final answer."""
+    """Whether the request already had its final response."""
     load_report: tuple[float, ...]
     """Values in the order of `Settings.load_report_fields`; may be empty."""
 
 
 class StreamStarted(NamedTuple):
-    """An answer began to stream to the client: it has no deadline and is not retried any more."""
+    """A response began to stream to the client: the request has no deadline any more and is not retried."""
 
     request_id: int
 
 
 class ClientDisconnected(NamedTuple):
-    """The client disconnected: the request needs no answer."""
+    """The client disconnected: the request needs no response."""
 
     request_id: int
 
 
 class TimerFired(NamedTuple):
-    """A timer that `SetTimer` started is due."""
+    """A timer that `SetTimer` started has expired."""
 
     token: int
+    """The identifier that `SetTimer` gave the timer."""
 
 
 class HealthCheckCompleted(NamedTuple):
@@ -270,13 +293,13 @@
     request_id: int
     endpoint_id: EndpointId
     timeout_ns: int
-    """How long to wait for the answer; 0 to wait until the client gives up."""
+    """How long to wait for the response; 0 to wait until the deadline of the request."""
     start_before_ns: int = 0
-    """Time from which it must not be sent, in case its connection is late; 0 for no limit."""
+    """The time from which on the request must not be sent, as its connection may be late; 0 for no limit."""
 
 
 class RejectRequest(NamedTuple):
-    """Give the final answer that the request is rejected and may be retried by the client."""
+    """Send the final response that the request was rejected and that the client may retry it."""
 
     request_id: int
     retry_after_ns: int
@@ -284,13 +307,13 @@
 
 
 class FailRequest(NamedTuple):
-    """Give the final answer that the request failed and may have been executed."""
+    """Send the final response that the request failed and may have been executed."""
 
     request_id: int
 
 
 class CancelAttempt(NamedTuple):
-    """Cancel an attempt, at the endpoint as well."""
+    """Cancel an attempt, both in the sidecar and at the endpoint."""
 
     request_id: int
     attempt_index: int
@@ -329,7 +352,7 @@
     """Send a gossip message to another sidecar."""
 
     recipient_index: int
-    """The index of the sidecar; -1 for all."""
+    """The index of the sidecar; -1 for all other sidecars."""
     payload: bytes
 
 
--- a/tests/sidecar/process/test_configuration_errors.py
+++ b/tests/sidecar/process/test_configuration_errors.py
@@ -43,7 +43,7 @@
         ({"seed": "xyz"}, "seed"),
         ({"peers": 3}, "peers"),
         ({"known": {"seq": "1", "hosts": []}}, "known"),
-        ({"settings": SETTINGS | {"Orgs": [7]}}, "makes no sense"),
+        ({"settings": SETTINGS | {"Orgs": [7]}}, "must hold only JSON objects, but has another entry"),
     ],
 )
 def test_invalid_configuration_is_reported_in_one_line(
