--- a/balancer/__main__.py
+++ b/balancer/__main__.py
@@ -1,4 +1,4 @@
-"""Start one sidecar: `python -m balancer`, with the configuration file that `PROXY_CONFIG` names."""
+"""Starts one sidecar: `python -m balancer`, with the configuration file that PROXY_CONFIG names."""
 
 from __future__ import annotations
 
@@ -22,28 +22,28 @@
 from balancer.sidecar.runtime.sockets import RESOURCE_SHORTAGE_ERRNOS
 
 LOG_FORMAT = "%(levelname)s %(name)s: %(message)s"
-"""The form of a log line; its message is an event and its fields, `event key=value key=value`."""
+"""The format of a log line; its message consists of an event and its fields, `event key=value key=value`."""
 
 LOG_LEVELS = ("DEBUG", "INFO", "WARNING", "ERROR")
-"""The values of the environment variable PROXY_LOG_LEVEL."""
+"""The allowed values of the environment variable PROXY_LOG_LEVEL."""
 
 DEFAULT_LOG_LEVEL = "WARNING"
-"""The log level where PROXY_LOG_LEVEL is not set or has another value."""
+"""The log level if PROXY_LOG_LEVEL is not set or has another value."""
 
 EXIT_OS_ERROR = 1
-"""The exit code where the operating system keeps the sidecar from starting."""
+"""The exit code if an error of the operating system keeps the sidecar from starting."""
 
 EXIT_CONFIGURATION_ERROR = 2
-"""The exit code where the configuration is missing or invalid."""
+"""The exit code if the configuration is missing or invalid."""
 
 MAX_START_SECONDS = 25.0
-"""From the start until a shortage ends the process: a sidecar that is not ready in 30 s has failed."""
+"""How long the start is retried during a resource shortage: a sidecar not ready within 30 s has failed."""
 
 START_RETRY_SECONDS = 0.05
-"""The pause before another attempt to start: short against the time in which a sidecar has to be ready."""
+"""The pause before the start is retried; it is short compared with the 30 s to become ready."""
 
 TRANSIENT_READ_ERRNOS = RESOURCE_SHORTAGE_ERRNOS | {errno.EIO, errno.EAGAIN}
-"""Errors of reading the configuration that may be over soon; a file that is missing is not among them."""
+"""Errors of reading the configuration that may be transient; a missing file is not one of them."""
 
 
 def main() -> int:
@@ -55,10 +55,10 @@
     except ConfigurationError as error:
         print(f"balancer: {error}", file=sys.stderr)
         return EXIT_CONFIGURATION_ERROR
-    # Threads that are started meanwhile keep the signals blocked: the main thread alone takes them, and can
-    # block them again at its end.
+    # Threads that are started from here on inherit the blocked signals. Thus only the main thread handles
+    # signals, and it can block them again at its end.
     block_signals()
-    gc.freeze()  # what is loaded by now stays: the collector need not go over it again
+    gc.freeze()  # the modules stay loaded: the collector need not traverse their objects again
     try:
         _run(config, start_deadline_seconds)
     except OSError as error:
@@ -68,12 +68,12 @@
 
 
 def _log_level(name: str) -> str:
-    """Return the log level of this name, or the default for any other name: the program must start."""
+    """Return the log level of this name; an unknown name gives the default, as the program must start."""
     return name.upper() if name.upper() in LOG_LEVELS else DEFAULT_LOG_LEVEL
 
 
 def _load_configuration(start_deadline_seconds: float) -> SidecarConfiguration:
-    """Load the configuration, again after an error that may be over soon. Raises ConfigurationError."""
+    """Load the configuration, and retry after a transient error. Raises ConfigurationError."""
     while True:
         try:
             return load_configuration(os.environ)
@@ -85,7 +85,7 @@
 
 
 def _run(config: SidecarConfiguration, start_deadline_seconds: float) -> None:
-    """Run the sidecar; where a shortage keeps it from starting, start it again. Raises OSError."""
+    """Run the sidecar; if a resource shortage keeps it from starting, retry the start. Raises OSError."""
     while True:
         try:
             uvloop.run(run_sidecar(config))
--- a/balancer/errors.py
+++ b/balancer/errors.py
@@ -1,7 +1,7 @@
 """The base classes of the exceptions that this package raises.
 
-Each part has its own subclasses beside the code that raises them. An exception carries what went wrong as
-fields, and its text is one plain line, fit for a log or for standard error.
+The subclasses are defined beside the code that raises them. The fields of an exception say what went wrong, and
+its text is a single line that suits a log or standard error.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
     Attributes:
         key: The name of the field.
         problem: What is wrong with it, as the rest of a sentence that begins with the key.
-        value: The invalid value; None where it is missing or is not a single value.
+        value: The invalid value; None if it is missing or is not a single value.
     """
 
     def __init__(self, key: str, problem: str, value: object = None) -> None:
@@ -33,12 +33,12 @@
 class ConfigurationError(InvalidFieldError):
     """The configuration or the settings are missing or invalid.
 
-    The key is one of the file, or the environment variable that names the file.
+    The key is a key of the file, or the environment variable that names the file.
     """
 
 
 class DiscoveryError(BalancerError):
-    """A call to discovery brought no usable endpoint list."""
+    """A call to discovery returned no usable endpoint list."""
 
 
 class ProtocolError(BalancerError):
--- a/balancer/settings_parser.py
+++ b/balancer/settings_parser.py
@@ -1,4 +1,4 @@
-"""Translates the settings of an instance, which are nested JSON, into the typed settings of the policy."""
+"""Converts the settings of a sidecar from nested JSON to the typed settings of the policy."""
 
 from __future__ import annotations
 
@@ -11,28 +11,28 @@
 from balancer.time_units import MILLISECOND_NS, SECOND_NS
 
 DEFAULT_POLL_WINDOW_NS = 10 * SECOND_NS
-"""Within how long of its start a sidecar calls discovery, where the settings do not say."""
+"""The time after its start within which a sidecar polls discovery, unless the settings say otherwise."""
 
 DEFAULT_SCHEDULING_TICK_NS = 5 * MILLISECOND_NS
-"""The shortest time between two turns of a sidecar, where the settings do not say."""
+"""The default of `Settings.scheduling_tick_ns`, used unless the settings say otherwise."""
 
 _IDEMPOTENCY_BY_NAME = {
     "retryable": Idempotency.IDEMPOTENT,
     "dedup": Idempotency.IDEMPOTENCY_KEY,
     "fragile": Idempotency.NOT_IDEMPOTENT,
 }
-"""The values of a class's `Effect`."""
+"""The values of the key `Effect` of a request class."""
 
 _SCOPE_BY_NAME = {
     "all": DeduplicationScope.ALL,
     "zone": DeduplicationScope.ZONE,
     "cell": DeduplicationScope.CELL,
 }
-"""The values of a class's `KeyScope`."""
+"""The values of the key `KeyScope` of a request class."""
 
 
 class SettingsError(ConfigurationError):
-    """A setting is missing or invalid. The key is empty where it is the settings as a whole."""
+    """A setting is missing or invalid; the key is empty if the settings as a whole are invalid."""
 
     def __str__(self) -> str:
         if not self.key:
@@ -41,27 +41,28 @@
 
 
 def parse_settings(text: bytes) -> Settings:
-    """Translate the JSON settings of an instance.
+    """Parse the JSON text of the settings of a sidecar.
 
     Raises SettingsError, which names the missing or invalid key.
     """
     try:
         value = json.loads(text)
     except ValueError as error:
-        raise SettingsError("", f"are not JSON: {error}") from None
+        raise SettingsError("", f"are not valid JSON: {error}") from None
     if not is_object(value):
-        raise SettingsError("", "are not an object", value)
+        raise SettingsError("", "are not a JSON object", value)
     return read_settings(JsonObject(value, SettingsError))
 
 
 def read_settings(top: JsonObject) -> Settings:
-    """Translate the settings of an instance from JSON that is decoded.
+    """Convert the decoded JSON settings of a sidecar.
 
-    Raises SettingsError, which names the missing or invalid key, if `top` was made with it.
+    Raises SettingsError, which names the missing or invalid key, if that is the `make_error`
+    of `top`.
     """
     classes = tuple(_read_request_class(fields) for fields in top.read_objects("Categories"))
     if not classes:
-        raise SettingsError("Categories", "is empty")
+        raise SettingsError("Categories", "must hold at least one request class, got none")
     settings = Settings(classes=classes)
     settings = _add_sidecar_position(settings, top)
     settings = _add_tenants(settings, top)
@@ -79,7 +80,7 @@
 
 
 def _read_request_class(fields: JsonObject) -> RequestClass:
-    """Return one entry of `Categories`."""
+    """Convert one entry of `Categories`."""
     return RequestClass(
         name=fields.read_text("Name"),
         latency_objective_ns=fields.read_integer("AimNs", minimum=1),
@@ -94,7 +95,7 @@
 
 
 def _add_sidecar_position(settings: Settings, top: JsonObject) -> Settings:
-    """Add the position of this sidecar among all of them, and its zone."""
+    """Add the index of this sidecar, the number of all sidecars, its zone and the number of zones."""
     return replace(
         settings,
         sidecar_index=top.read_integer("Position", 0),
@@ -105,7 +106,7 @@
 
 
 def _add_tenants(settings: Settings, top: JsonObject) -> Settings:
-    """Add the tenants and the weight of requests over a quota."""
+    """Add the tenants and the weight of requests beyond a quota."""
     tenants = tuple(
         Tenant(fields.read_text("Name"), fields.read_number("QuotaPerS", 0))
         for fields in top.read_objects("Orgs")
@@ -114,7 +115,7 @@
 
 
 def _add_discovery(settings: Settings, top: JsonObject) -> Settings:
-    """Add whether discovery is polled, and within which time of the start."""
+    """Add whether discovery is polled, and within which time after the start."""
     rules = top.read_object("Rules")
     return replace(
         settings,
@@ -149,7 +150,7 @@
 
 
 def _add_prices(settings: Settings, prices: JsonObject) -> Settings:
-    """Add the prices of what an attempt may cost."""
+    """Add the prices that an attempt may incur."""
     return replace(
         settings,
         cross_zone_price=prices.read_number("CrossZone", 0),
@@ -160,7 +161,7 @@
 
 
 def _add_load_reports(settings: Settings, statistics: JsonObject) -> Settings:
-    """Add the fields of load reports; none where these are switched off."""
+    """Add the fields of load reports; none if load reports are switched off."""
     field_names = tuple(str(name) for name in statistics.read_list("Fields"))
     are_off = statistics.get("Via") == "off"
     return replace(settings, load_report_fields=() if are_off else field_names)
--- a/balancer/time_units.py
+++ b/balancer/time_units.py
@@ -1,4 +1,4 @@
-"""Lengths of time in nanoseconds, the unit of every time in the policy."""
+"""Time units in nanoseconds; the policy measures all times in nanoseconds."""
 
 from __future__ import annotations
 
--- a/tests/__init__.py
+++ b/tests/__init__.py
@@ -1,1 +1,1 @@
-"""The tests, in the same folders as the modules under test."""
+"""The tests; their folders mirror those of the modules under test."""
--- a/tests/builders.py
+++ b/tests/builders.py
@@ -1,4 +1,4 @@
-"""Builders of request classes, settings, endpoints and events with defaults that suit most tests."""
+"""Functions that build request classes, settings, endpoints and events with defaults that suit most tests."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 from balancer.time_units import MILLISECOND_NS, SECOND_NS
 
 START_NS = 50 * SECOND_NS
-"""When the clock of a test starts: late enough that nothing lies before 0."""
+"""The time at which the clock of a test starts: late enough that no time in a test is negative."""
 
 
 class SettingsOverrides(TypedDict, total=False):
@@ -58,7 +58,7 @@
     deduplication_scope: DeduplicationScope = DeduplicationScope.ALL,
     deduplication_window_ns: int = 5 * SECOND_NS,
 ) -> RequestClass:
-    """Build a class of requests that are idempotent and worth nothing after the latency objective."""
+    """Build a class of idempotent requests whose responses have no value after the latency objective."""
     return RequestClass(
         name="c",
         latency_objective_ns=latency_objective_ns,
@@ -98,7 +98,7 @@
 
 
 def endpoint_number(identifier: EndpointId) -> int:
-    """Return the number that `endpoint_id` was given."""
+    """Return the number that `endpoint_id` was called with."""
     return int.from_bytes(identifier, "little")
 
 
@@ -110,7 +110,7 @@
     cell: int = 0,
     started_at_ns: int = 0,
 ) -> Endpoint:
-    """Build an entry of the endpoint list; without `started_at_ns` it started long ago."""
+    """Build an entry of the endpoint list; without `started_at_ns` the endpoint started long ago."""
     return Endpoint(
         id=endpoint_id(number),
         zone=zone,
@@ -131,7 +131,7 @@
     key_hash: int = 0,
     is_retry: bool = False,
 ) -> RequestReceived:
-    """Build the arrival of a request without a work hint."""
+    """Build the event of a request that arrives without a work hint."""
     return RequestReceived(
         request_id=request_id,
         class_index=class_index,
@@ -152,7 +152,7 @@
     attempt_index: int = 0,
     request_finished: bool = False,
 ) -> AttemptCompleted:
-    """Build the end of an attempt without a load report."""
+    """Build the event of an attempt that ends without a load report."""
     return AttemptCompleted(
         request_id=request_id,
         attempt_index=attempt_index,
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,7 +1,7 @@
-"""Expect the tests that KNOWN-RED.txt lists to fail, and print them at the end of the run.
+"""Expects the tests that KNOWN-RED.txt lists to fail, and prints them at the end of the run.
 
-Each line of that file is `test id: cause (issue)`; a test with parameters is one entry. A listed test has to
-fail: the run fails if one passes or does not exist, or if the list is too long.
+Each line of that file has the form `test id: cause (issue)`; a test with parameters is a single entry. The
+run fails if a listed test passes or does not exist, or if the list is too long.
 """
 
 from __future__ import annotations
@@ -13,14 +13,14 @@
 
 KNOWN_RED_FILE = Path(__file__).parent.parent / "KNOWN-RED.txt"
 MAX_KNOWN_RED = 3
-"""Largest number of entries: more failing tests have to be mended before anything else."""
+"""The largest number of entries: if more tests fail, they have to be fixed before anything else."""
 
 _SEPARATOR = ": "
 
 
 @dataclass(frozen=True, slots=True)
 class KnownRed:
-    """A test that is known to fail, and the fault that is the cause."""
+    """A test that is known to fail, and the fault that causes the failure."""
 
     test_id: str
     cause: str
@@ -32,15 +32,15 @@
     for line in filter(None, map(str.strip, text.splitlines())):
         test_id, separator, cause = line.partition(_SEPARATOR)
         if not separator or not cause:
-            raise pytest.UsageError(f"KNOWN-RED.txt: no cause in line {line!r}")
+            raise pytest.UsageError(f"KNOWN-RED.txt: no cause after the test id in line {line!r}")
         entries.append(KnownRed(test_id, cause))
     if len(entries) > MAX_KNOWN_RED:
-        raise pytest.UsageError(f"KNOWN-RED.txt: {len(entries)} tests, at most {MAX_KNOWN_RED} may be listed")
+        raise pytest.UsageError(f"KNOWN-RED.txt: {len(entries)} tests listed, at most {MAX_KNOWN_RED} allowed")
     return entries
 
 
 def read_known_red() -> list[KnownRed]:
-    """Read the list of this repository; without a file nothing is known to fail."""
+    """Read the list of this repository; without the file no test is known to fail."""
     return parse_known_red(KNOWN_RED_FILE.read_text()) if KNOWN_RED_FILE.exists() else []
 
 
@@ -51,7 +51,7 @@
     runs_whole_suite = not config.args or config.args == config.getini("testpaths")
     missing = sorted(entries.keys() - collected)
     if runs_whole_suite and missing:
-        raise pytest.UsageError(f"KNOWN-RED.txt: no such test: {', '.join(missing)}")
+        raise pytest.UsageError(f"KNOWN-RED.txt: listed tests that do not exist: {', '.join(missing)}")
     for item in items:
         entry = entries.get(_function_id(item))
         if entry is not None:
@@ -59,7 +59,7 @@
 
 
 def _function_id(item: pytest.Item) -> str:
-    """Return the id of a test function without its parameters, which all belong to one entry of the list."""
+    """Return the id of a test function without parameters, as one entry of the list covers all of them."""
     return item.nodeid.partition("[")[0]
 
 
--- a/tests/settings_samples.py
+++ b/tests/settings_samples.py
@@ -1,8 +1,8 @@
-"""Settings in their JSON form, which the simulator and the configuration of the sidecar share."""
+"""Sample settings in JSON form, as the simulator and the configuration file of a sidecar have them."""
 
 from __future__ import annotations
 
 MINIMAL_SETTINGS: dict[str, object] = {
     "Categories": [{"AimNs": 5, "HardLimitNs": 9, "Effect": "dedup", "KeyScope": "cell", "Importance": 2}]
 }
-"""Valid settings with no more than the required keys, and one request class."""
+"""Valid settings with one request class and few keys beyond the required ones."""
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -1,4 +1,4 @@
-"""Tests that the pages name tests, files and links that exist."""
+"""Tests that the tests, files, links, modules and log events that the documentation names exist."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 ROOT = Path(__file__).parent.parent
 PAGES = [ROOT / "README.md", ROOT / "CONTRIBUTING.md", *sorted((ROOT / "docs").rglob("*.md"))]
 FORMER_FILES = {"tests/test_overload.py"}
-"""Files that no longer exist, which a page names as former ones."""
+"""Files that no longer exist but that a page mentions as former files."""
 
 ARCHITECTURE = ROOT / "docs" / "architecture.md"
 MODULES_TITLE = "Modules, and the state that each owns"
 """The section of the architecture page that has a table of modules for each package."""
 
 LOG_LINES_TITLE = "Log lines"
-"""The section of the architecture page that has a table of the events that are logged."""
+"""The section of the architecture page that has a table of the log events."""
 
 
 def page_name(page: Path) -> str:
@@ -71,14 +71,14 @@
 
 
 def modules_in_tables() -> list[str]:
-    """Return the paths of the modules in the tables of the architecture page, which has a table a package."""
+    """Return the paths of the modules in the tables of the architecture page, one table per package."""
     tables = re.split(r"^### `([\w/]+)/`$", section(ARCHITECTURE, MODULES_TITLE), flags=re.MULTILINE)
     packages = zip(tables[1::2], tables[2::2], strict=True)
     return [f"{package}/{module}" for package, table in packages for module in first_cells(table)]
 
 
 def logged_events() -> set[str]:
-    """Return the names of the events that the sidecar logs: the first word of each format string."""
+    """Return the names of the events that the sidecar logs, each the first word of a format string."""
     events: set[str] = set()
     for path in (ROOT / "balancer").rglob("*.py"):
         for node in ast.walk(ast.parse(path.read_text())):
--- a/tests/test_gossip_codec.py
+++ b/tests/test_gossip_codec.py
@@ -1,4 +1,7 @@
-"""Tests of `balancer.gossip_codec`: the bytes of gossip are those of earlier versions."""
+"""Tests that gossip messages have the same bytes as in earlier versions, and that invalid ones are rejected.
+
+A change of the format would keep sidecars of different versions from reading each other's gossip.
+"""
 
 from __future__ import annotations
 
@@ -12,7 +15,7 @@
 PAYLOAD_OF_AN_EARLIER_VERSION = bytes.fromhex(
     "00295c1942c1ba3343334333430000000000000000664500005538b34500000000"
 )
-"""Sent by version 0.1.0, with two zones, two business levels and two classes."""
+"""A message that version 0.1.0 sent, with two zones, two business levels and two classes."""
 
 
 @pytest.fixture
--- a/tests/test_policy_limits.py
+++ b/tests/test_policy_limits.py
@@ -1,4 +1,4 @@
-"""Limits of the policy modules: size, imports, the deploy file and the pointer to the interface."""
+"""Tests of the rules for policy modules: size, imports, deploy file and the reference to the interface."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 POLICY_FILES = sorted((ROOT / "balancer" / "policy").rglob("*.py"))
 POLICY_FILE_NAMES = {path.relative_to(ROOT).as_posix() for path in POLICY_FILES}
 MAX_NON_BLANK_LINES = 250
-"""Limit of one module: what a reader can take in at once."""
+"""The size limit of one module: a reader should be able to grasp it as a whole."""
 MAX_COLUMNS = 110
 ALLOWED_IMPORTS = {
     "__future__",
--- a/tests/test_settings_parser.py
+++ b/tests/test_settings_parser.py
@@ -1,4 +1,4 @@
-"""The settings parser: optional and unknown keys, and the key that an error names."""
+"""Tests of the settings parser: optional and unknown keys, and the key that an error names."""
 
 from __future__ import annotations
 
