--- a/balancer/settings_parser.py
+++ b/balancer/settings_parser.py
@@ -126,7 +126,7 @@
 
 def _add_limits(settings: Settings, limits: JsonObject) -> Settings:
     """Add the limits on attempts and connections, and the optional features that are enabled."""
-    clients_heed_retry_after = limits.read_flag("RetryAfter")
+    clients_respect_retry_after = limits.read_flag("RetryAfter")
     return replace(
         settings,
         max_attempts=limits.read_integer("MaxAttempts", 1, minimum=1),
@@ -135,7 +135,7 @@
         concurrent_attempts_allowed=limits.read_flag("ParallelTries"),
         gossip_enabled=limits.read_flag("Peers"),
         health_checks_enabled=limits.read_flag("Probes"),
-        max_retry_after_ns=limits.read_integer("MaxRetryAfterNs", 0) if clients_heed_retry_after else 0,
+        max_retry_after_ns=limits.read_integer("MaxRetryAfterNs", 0) if clients_respect_retry_after else 0,
     )
 
 
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -53,7 +53,7 @@
 
 
 @pytest.mark.parametrize("page", PAGES, ids=page_name)
-def test_links_of_a_page_lead_somewhere(page: Path) -> None:
+def test_links_of_a_page_have_existing_targets(page: Path) -> None:
     targets = re.findall(r"\]\(([^)#:]+)(?:#[^)]*)?\)", page.read_text())
     assert [target for target in targets if not (page.parent / target).exists()] == []
 
--- a/tests/test_gossip_codec.py
+++ b/tests/test_gossip_codec.py
@@ -62,7 +62,7 @@
 
 
 @pytest.mark.parametrize("position", range(5, len(PAYLOAD_OF_AN_EARLIER_VERSION), 2))
-def test_value_that_is_no_number_is_rejected(codec: GossipCodec, position: int) -> None:
+def test_value_that_is_not_a_number_is_rejected(codec: GossipCodec, position: int) -> None:
     payload = bytearray(PAYLOAD_OF_AN_EARLIER_VERSION)
     payload[position : position + 2] = struct.pack("<e", float("nan"))
     assert codec.decode(bytes(payload)) is None
--- a/tests/test_policy_limits.py
+++ b/tests/test_policy_limits.py
@@ -55,7 +55,7 @@
 
 
 @pytest.mark.parametrize("path", POLICY_FILES, ids=lambda path: path.stem)
-def test_policy_module_keeps_to_its_size(path: Path) -> None:
+def test_policy_module_is_within_the_size_limits(path: Path) -> None:
     lines = [line for line in path.read_text().splitlines() if line.strip()]
     assert len(lines) <= MAX_NON_BLANK_LINES
     assert max(map(len, lines)) <= MAX_COLUMNS
