--- a/balancer/errors.py
+++ b/balancer/errors.py
@@ -1,7 +1,7 @@
 """The base classes of the exceptions that this package raises.
 
-The subclasses are defined beside the code that raises them. The fields of an exception say what went wrong, and
-its text is a single line that suits a log or standard error.
+The subclasses are defined beside the code that raises them. The fields of an exception say what went wrong,
+and its text is a single line that suits a log or standard error.
 """
 
 from __future__ import annotations
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -35,7 +35,7 @@
             raise pytest.UsageError(f"KNOWN-RED.txt: no cause after the test id in line {line!r}")
         entries.append(KnownRed(test_id, cause))
     if len(entries) > MAX_KNOWN_RED:
-        raise pytest.UsageError(f"KNOWN-RED.txt: {len(entries)} tests listed, at most {MAX_KNOWN_RED} allowed")
+        raise pytest.UsageError(f"KNOWN-RED.txt: {len(entries)} tests, at most {MAX_KNOWN_RED} are allowed")
     return entries
 
 
