--- a/balancer/settings_parser.py
+++ b/balancer/settings_parser.py
@@ -57,8 +57,7 @@
 def read_settings(top: JsonObject) -> Settings:
     """Convert the decoded JSON settings of a sidecar.
 
-    Raises SettingsError, which names the missing or invalid key, if that is the `make_error`
-    of `top`.
+    Raises SettingsError, which names the missing or invalid key, if it is the `make_error` of `top`.
     """
     classes = tuple(_read_request_class(fields) for fields in top.read_objects("Categories"))
     if not classes:
