--- a/balancer/gossip_codec.py
+++ b/balancer/gossip_codec.py
@@ -23,7 +23,7 @@
 from math import inf
 from struct import Struct
 
-MAX_VALUE = 60_000.0
+MAX_SUM = 60_000.0
 """The largest sum in a message: a half float holds little more, and a larger number would be a fault."""
 
 MAX_MEAN_DELAY = 2.01
@@ -134,7 +134,7 @@
         return self._layout.size
 
     def encode(self, message: GossipMessage) -> bytes:
-        """Return the bytes of a message whose values are all at most `MAX_VALUE`."""
+        """Return the bytes of a message whose values are all at most `MAX_SUM`."""
         threshold = NO_THRESHOLD if message.admission_threshold is None else message.admission_threshold
         values: list[float] = []
         for evidence in message.queueing:
@@ -183,4 +183,4 @@
         nonnegative_sums += (evidence.sample_count, evidence.attempt_count, evidence.response_count)
     for samples in message.latencies:
         nonnegative_sums += samples.values()
-    return all(0 <= value <= MAX_VALUE for value in nonnegative_sums)
+    return all(0 <= value <= MAX_SUM for value in nonnegative_sums)
--- a/balancer/policy/overload/gossip.py
+++ b/balancer/policy/overload/gossip.py
@@ -2,7 +2,7 @@
 
 from random import Random
 
-from balancer.gossip_codec import MAX_VALUE, GossipCodec, GossipMessage
+from balancer.gossip_codec import MAX_SUM, GossipCodec, GossipMessage
 from balancer.policy.overload.admission import AdmissionControl
 from balancer.policy.overload.detector import OverloadDetector
 from balancer.policy_api import GossipReceived, SendGossip, Settings
@@ -49,7 +49,7 @@
         if not settings.gossip_enabled or settings.sidecar_count <= 1:
             return []
         message = self._current_message()
-        message.scale(KEPT_SHARE, MAX_VALUE)
+        message.scale(KEPT_SHARE, MAX_SUM)
         return [SendGossip(self._draw_recipient(), self.codec.encode(message))]
 
     def merge(self, _now_ns: int, event: GossipReceived) -> None:
