--- a/balancer/gossip_codec.py
+++ b/balancer/gossip_codec.py
@@ -177,7 +177,7 @@
     for evidence in message.queueing:
         if not abs(evidence.delay_sum) <= MAX_MEAN_DELAY * evidence.sample_count:
             return False
-    # The other sums must be from 0 to MAX_VALUE. Comparisons with NaN are false, so NaN is invalid as well.
+    # The other sums must be from 0 to `MAX_SUM`. Comparisons with NaN are false, so NaN is invalid.
     nonnegative_sums = list(message.keyless_arrivals)
     for evidence in message.queueing:
         nonnegative_sums += (evidence.sample_count, evidence.attempt_count, evidence.response_count)
