--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -10,7 +10,7 @@
 
 import uvloop
 
-from soak.command_line import ExitStatus, PlainArgumentParser, seconds_between
+from soak.command_line import ExitStatus, OneLineErrorArgumentParser, seconds_between
 from soak.errors import SoakError
 from soak.report import SoakReport
 from soak.runner import MAX_SECONDS, MIN_SECONDS, run_soak
@@ -31,8 +31,8 @@
 """
 
 
-def _parse(arguments: Sequence[str] | None) -> argparse.Namespace:
-    parser = PlainArgumentParser(prog="python -m soak", description=DESCRIPTION, epilog=EPILOG)
+def _parse_arguments(arguments: Sequence[str] | None) -> argparse.Namespace:
+    parser = OneLineErrorArgumentParser(prog="python -m soak", description=DESCRIPTION, epilog=EPILOG)
     parser.add_argument(
         "--seed",
         type=int,
@@ -54,7 +54,7 @@
 
 def main(arguments: Sequence[str] | None = None) -> int:
     """Run one soak and return the exit status."""
-    options = _parse(arguments)
+    options = _parse_arguments(arguments)
     try:
         report: SoakReport = uvloop.run(run_soak(options.seed, options.seconds, options.keep))
         print(report.to_text())
--- a/soak/command_line.py
+++ b/soak/command_line.py
@@ -19,7 +19,7 @@
     """The arguments are wrong, or the soak itself could not run."""
 
 
-class PlainArgumentParser(argparse.ArgumentParser):
+class OneLineErrorArgumentParser(argparse.ArgumentParser):
     """An argument parser that reports an error as one line, without the usage."""
 
     def error(self, message: str) -> NoReturn:
--- a/soak/deployment.py
+++ b/soak/deployment.py
@@ -27,7 +27,7 @@
 """Probability that sidecars poll for the endpoint list instead of watching it."""
 DRAIN_GRACE_CHOICES_SECONDS = (0.5, 1.0)
 """Seconds for which requests may still go to a draining server."""
-LATE_ANSWER_VALUES = (0.0, 0.3)
+LATE_RESPONSE_VALUES = (0.0, 0.3)
 """Value of a response after the latency objective, as a share of that of one in time."""
 INITIAL_CAPACITY_SHARE = 0.05
 """Share of its capacity that a server starts with."""
@@ -65,19 +65,19 @@
 
     name: str
     idempotency: Idempotency
-    objective_seconds: float
+    latency_objective_seconds: float
     """The latency objective."""
     timeout_seconds: float
     """The longest time that a client waits."""
     share: float
     """Share of all requests."""
-    late_answer_value: float = 0.3
+    late_response_value: float = 0.3
     """Value of a response after the objective; where it is 0 an attempt is cancelled then."""
     deduplication_scope: DeduplicationScope = DeduplicationScope.ALL
     deduplication_window_seconds: float = 5.0
 
     @property
-    def may_always_execute_again(self) -> bool:
+    def is_always_safe_to_retry(self) -> bool:
         """Whether a retry is harmless at whatever server it arrives."""
         if self.idempotency == Idempotency.IDEMPOTENCY_KEY:
             return self.deduplication_scope == DeduplicationScope.ALL
@@ -146,25 +146,25 @@
     read = RequestClass(
         name="read",
         idempotency=Idempotency.IDEMPOTENT,
-        objective_seconds=0.3,
+        latency_objective_seconds=0.3,
         timeout_seconds=1.2,
         share=0.4,
-        late_answer_value=random.choice(LATE_ANSWER_VALUES),
+        late_response_value=random.choice(LATE_RESPONSE_VALUES),
     )
     change = RequestClass(
         name="change",
         idempotency=Idempotency.IDEMPOTENCY_KEY,
-        objective_seconds=0.3,
+        latency_objective_seconds=0.3,
         timeout_seconds=random.choice((0.6, 1.0)),
         share=0.35,
-        late_answer_value=random.choice(LATE_ANSWER_VALUES),
+        late_response_value=random.choice(LATE_RESPONSE_VALUES),
         deduplication_scope=random.choice(list(DeduplicationScope)),
         deduplication_window_seconds=random.choice((0.3, 0.75)),
     )
     invoice = RequestClass(
         name="invoice",
         idempotency=Idempotency.NOT_IDEMPOTENT,
-        objective_seconds=0.6,
+        latency_objective_seconds=0.6,
         timeout_seconds=random.choice((1.5, 2.5)),
         share=0.25,
     )
--- a/soak/fault_injection/account_server_faults.py
+++ b/soak/fault_injection/account_server_faults.py
@@ -68,7 +68,7 @@
         """Crash a server, and start it again as a process that warms up."""
         server = choose_server(self._fleet, fault)
         if not server.is_running:
-            return _not_running(server)
+            return _describe_stopped_server(server)
         server.stop()
         await asyncio.sleep(fault.seconds)
         await server.start(needs_warm_up=True)
@@ -79,7 +79,7 @@
         """Drain and remove a server, which still responds, and start another in its place."""
         server = choose_server(self._fleet, fault)
         if not server.is_running:
-            return _not_running(server)
+            return _describe_stopped_server(server)
         self._fleet.servers.remove(server)
         self._fleet.directory.set_health(server, EndpointHealth.DRAINING)
         await asyncio.sleep(MAX_DRAIN_SECONDS * fault.strength)
@@ -88,5 +88,5 @@
         return f"{server.identity.name}, which still responds"
 
 
-def _not_running(server: AccountServer) -> str:
+def _describe_stopped_server(server: AccountServer) -> str:
     return f"{server.identity.name}, which did not run"
--- a/soak/fault_injection/discovery_faults.py
+++ b/soak/fault_injection/discovery_faults.py
@@ -21,12 +21,12 @@
     def injections(self) -> InjectionsByKind:
         """Return the injection of each kind of fault that this class injects."""
         return {
-            FaultKind.WATCHES_SILENT: self._silence_watches,
+            FaultKind.WATCHES_UNRESPONSIVE: self._make_watches_unresponsive,
             FaultKind.DISCOVERY_RESETS: self._reset_connections,
             FaultKind.DISCOVERY_DOWN: self._take_down,
         }
 
-    async def _silence_watches(self, fault: PlannedFault) -> str:
+    async def _make_watches_unresponsive(self, fault: PlannedFault) -> str:
         sidecar = choose_member(self._fleet, fault).sidecar
         sidecar.agent.silence_watches()
         await asyncio.sleep(fault.seconds)
--- a/soak/fault_injection/process_faults.py
+++ b/soak/fault_injection/process_faults.py
@@ -24,13 +24,13 @@
 """Seconds that a graceful shutdown may take for requests with long timeouts."""
 KILL_MARGIN_SECONDS = 0.7
 """Seconds beyond the time of a graceful shutdown after which the process is killed."""
-SHORTAGE_STRENGTH = 0.6
+SOCKET_SHORTAGE_STRENGTH = 0.6
 """Strength of a restart beyond which the new process gets no socket at first."""
-MAX_FAILED_STARTS = 4
+FAILED_SOCKET_CALLS_AT_START = 4
 """Sockets that a new process fails to get."""
-UNREADABLE_STRENGTH = 0.6
+UNREADABLE_CONFIGURATION_STRENGTH = 0.6
 """Strength of a reload beyond which the configuration cannot be read at first."""
-MAX_REPEATED_SIGNALS = 2
+MAX_ADDITIONAL_RELOAD_SIGNALS = 2
 """SIGHUP signals that follow the first of a reload at once, at most."""
 NANOSECONDS_PER_SECOND = 1_000_000_000
 
@@ -58,7 +58,7 @@
         member = choose_member(self._fleet, fault)
         sidecar = member.sidecar
         if not sidecar.is_serving:
-            return _not_serving(sidecar)
+            return _describe_unavailable_sidecar(sidecar)
         sidecar.send_signal(signal.SIGTERM)
         shutdown_seconds = min(MAX_SHUTDOWN_SECONDS, self._fleet.deployment.longest_timeout_seconds)
         if not await sidecar.wait_until_ended(shutdown_seconds + KILL_MARGIN_SECONDS):
@@ -72,7 +72,7 @@
         member = choose_member(self._fleet, fault)
         sidecar = member.sidecar
         if not sidecar.is_serving:
-            return _not_serving(sidecar)
+            return _describe_unavailable_sidecar(sidecar)
         sidecar.send_signal(signal.SIGKILL)
         await sidecar.wait_until_ended(READY_TIMEOUT_SECONDS)
         await self._restart(member, fault)
@@ -82,9 +82,9 @@
         """Start the next process of a sidecar; a strong fault keeps it from getting a socket at first."""
         sidecar = member.sidecar
         await asyncio.sleep(MAX_RESTART_DELAY_SECONDS * self._random.random())
-        if fault.strength > SHORTAGE_STRENGTH:
+        if fault.strength > SOCKET_SHORTAGE_STRENGTH:
             error = self._random.choice(SOCKET_ERRORS)
-            sidecar.faults.fail(FaultyCall.SOCKET, error, MAX_FAILED_STARTS)
+            sidecar.faults.fail(FaultyCall.SOCKET, error, FAILED_SOCKET_CALLS_AT_START)
         await sidecar.start()
         await sidecar.wait_until_ready(READY_TIMEOUT_SECONDS)
 
@@ -95,9 +95,9 @@
             return f"{sidecar.name}, which did not serve or had no discovery"
         await sidecar.agent.move()
         sidecar.write_configuration()
-        if fault.strength > UNREADABLE_STRENGTH:
+        if fault.strength > UNREADABLE_CONFIGURATION_STRENGTH:
             sidecar.faults.fail(FaultyCall.OPEN_CONFIGURATION, errno.EIO, 1)
-        for _ in range(1 + int(MAX_REPEATED_SIGNALS * fault.strength)):
+        for _ in range(1 + int(MAX_ADDITIONAL_RELOAD_SIGNALS * fault.strength)):
             sidecar.send_signal(signal.SIGHUP)
         await asyncio.sleep(fault.seconds)
         sidecar.faults.stop_failing(FaultyCall.OPEN_CONFIGURATION)
@@ -107,7 +107,7 @@
         """Reload a configuration that cannot be read at first."""
         sidecar = choose_member(self._fleet, fault).sidecar
         if not sidecar.is_serving:
-            return _not_serving(sidecar)
+            return _describe_unavailable_sidecar(sidecar)
         sidecar.faults.fail(FaultyCall.OPEN_CONFIGURATION, errno.EIO, 1)
         sidecar.send_signal(signal.SIGHUP)
         await asyncio.sleep(fault.seconds)
@@ -132,5 +132,5 @@
         return f"all, by {step_seconds:+.0f} s"
 
 
-def _not_serving(sidecar: SidecarProcess) -> str:
+def _describe_unavailable_sidecar(sidecar: SidecarProcess) -> str:
     return f"{sidecar.name}, which did not serve"
--- a/soak/fault_injection/system_call_faults.py
+++ b/soak/fault_injection/system_call_faults.py
@@ -15,7 +15,7 @@
 """Calls that fail in a row under the strongest fault."""
 MIN_TRANSFER_BYTES = 200
 """Bytes of a short read or write; with one byte each, a request of 20 KB would miss its deadline."""
-TRANSFER_RANGE_BYTES = 1000
+TRANSFER_BYTES_RANGE = 1000
 """Bytes by which a short read or write may exceed the minimum."""
 MIN_INTERRUPT_INTERVAL = 2
 """Calls; every second one is interrupted under the weakest strength, and the retry succeeds."""
@@ -62,15 +62,15 @@
         }
 
     async def _fail_accept(self, fault: PlannedFault) -> str:
-        return await self._fail(fault, FaultyCall.ACCEPT, ACCEPT_ERRORS)
+        return await self._fail_calls(fault, FaultyCall.ACCEPT, ACCEPT_ERRORS)
 
     async def _fail_socket(self, fault: PlannedFault) -> str:
-        return await self._fail(fault, FaultyCall.SOCKET, SOCKET_ERRORS)
+        return await self._fail_calls(fault, FaultyCall.SOCKET, SOCKET_ERRORS)
 
     async def _fail_connect(self, fault: PlannedFault) -> str:
-        return await self._fail(fault, FaultyCall.CONNECT, CONNECT_ERRORS)
+        return await self._fail_calls(fault, FaultyCall.CONNECT, CONNECT_ERRORS)
 
-    async def _fail(self, fault: PlannedFault, call: FaultyCall, errors: tuple[int, ...]) -> str:
+    async def _fail_calls(self, fault: PlannedFault, call: FaultyCall, errors: tuple[int, ...]) -> str:
         sidecar = choose_member(self._fleet, fault).sidecar
         error = self._random.choice(errors)
         sidecar.faults.fail(call, error, 1 + int(MAX_FAILED_CALLS * fault.strength**2))
@@ -81,8 +81,8 @@
     async def _shorten_transfers(self, fault: PlannedFault) -> str:
         sidecar = choose_member(self._fleet, fault).sidecar
         sidecar.faults.limit_transfers(
-            max_read_bytes=MIN_TRANSFER_BYTES + int(TRANSFER_RANGE_BYTES * fault.strength),
-            max_write_bytes=MIN_TRANSFER_BYTES + int(TRANSFER_RANGE_BYTES * self._random.random()),
+            max_read_bytes=MIN_TRANSFER_BYTES + int(TRANSFER_BYTES_RANGE * fault.strength),
+            max_write_bytes=MIN_TRANSFER_BYTES + int(TRANSFER_BYTES_RANGE * self._random.random()),
         )
         await asyncio.sleep(fault.seconds)
         sidecar.faults.remove_transfer_limits()
--- a/soak/fault_plan.py
+++ b/soak/fault_plan.py
@@ -52,7 +52,7 @@
     NETWORK_SLOW = "the network delays and fragments data"
     NETWORK_RESETS = "the network resets connections"
     NETWORK_SLOW_CONNECT = "connections are established late"
-    WATCHES_SILENT = "open watches of discovery stop responding"
+    WATCHES_UNRESPONSIVE = "open watches of discovery stop responding"
     DISCOVERY_RESETS = "connections to discovery are reset"
     DISCOVERY_DOWN = "discovery is down"
     CLIENTS_DISCONNECT = "all clients of a sidecar disconnect at once"
--- a/soak/fleet.py
+++ b/soak/fleet.py
@@ -46,7 +46,7 @@
         members: the sidecars with their clients.
     """
 
-    def __init__(self, deployment: Deployment, history: History, random: Random, files: Path) -> None:
+    def __init__(self, deployment: Deployment, history: History, random: Random, working_directory: Path) -> None:
         self.deployment = deployment
         self.history = history
         self.clock = HarnessClock()
@@ -55,7 +55,7 @@
         self.members: list[Member] = []
         self._all_servers: list[AccountServer] = []
         self._random = random
-        self._files = files
+        self._working_directory = working_directory
         self._tasks: list[asyncio.Task[None]] = []
 
     async def start(self, fault_library: Path) -> None:
@@ -71,7 +71,7 @@
         for index in range(self.deployment.sidecar_count):
             self.members.append(await self._make_member(index, fault_library))
         await self._start_sidecars()
-        self._tasks.append(asyncio.create_task(self._sample_processes()))
+        self._tasks.append(asyncio.create_task(self._record_states_periodically()))
 
     def start_load(self) -> None:
         """Start the clients."""
@@ -93,7 +93,7 @@
     async def stop(self) -> None:
         """End all processes and servers."""
         for member in self.members:
-            self._sample(member.sidecar)
+            self._record_state(member.sidecar)
             member.sidecar.send_signal(signal.SIGTERM)
         for member in self.members:
             if not await member.sidecar.wait_until_ended(STOP_TIMEOUT_SECONDS):
@@ -133,8 +133,8 @@
             agent=agent,
             clock=self.clock,
             history=self.history,
-            directory=self._files,
-            faults=SyscallFaults(fault_library, self._files / f"{name}.faults"),
+            directory=self._working_directory,
+            faults=SyscallFaults(fault_library, self._working_directory / f"{name}.faults"),
         )
         load = ClientLoad(sidecar, self.deployment, self.clock, self.history, random)
         return Member(sidecar, load)
@@ -142,25 +142,25 @@
     async def _start_sidecars(self) -> None:
         """Start all sidecars at once. Raises SidecarNotReadyError if one does not become ready."""
         sidecars = [member.sidecar for member in self.members]
-        readiness = await asyncio.gather(*(_start(sidecar) for sidecar in sidecars))
+        readiness = await asyncio.gather(*(_start_and_wait_until_ready(sidecar) for sidecar in sidecars))
         for sidecar, is_ready in zip(sidecars, readiness, strict=True):
             if not is_ready:
                 raise SidecarNotReadyError(sidecar.name)
 
-    async def _sample_processes(self) -> None:
+    async def _record_states_periodically(self) -> None:
         with contextlib.suppress(asyncio.CancelledError):
             while True:
                 await asyncio.sleep(SAMPLE_INTERVAL_SECONDS)
                 for member in self.members:
-                    self._sample(member.sidecar)
+                    self._record_state(member.sidecar)
 
-    def _sample(self, sidecar: SidecarProcess) -> None:
+    def _record_state(self, sidecar: SidecarProcess) -> None:
         """Record what a sidecar uses, and what it has to know of the endpoint list by now."""
         sidecar.record_resource_usage()
         sidecar.agent.record_overdue()
 
 
-async def _start(sidecar: SidecarProcess) -> bool:
+async def _start_and_wait_until_ready(sidecar: SidecarProcess) -> bool:
     """Start a sidecar and return whether it became ready."""
     await sidecar.start()
     return await sidecar.wait_until_ready(READY_TIMEOUT_SECONDS)
--- a/soak/invariants/attempts.py
+++ b/soak/invariants/attempts.py
@@ -29,7 +29,7 @@
     zone: str
     cell: int
 
-    def shares_keys_with(self, other: _Location, scope: DeduplicationScope) -> bool:
+    def shares_idempotency_keys_with(self, other: _Location, scope: DeduplicationScope) -> bool:
         """Return whether servers at both places drop each other's repeats."""
         if scope == DeduplicationScope.ALL:
             return True
@@ -58,7 +58,7 @@
         for earlier, later in itertools.pairwise(attempts):
             yield from _check_overlap(history, request, earlier, later)
             if earlier.may_have_executed:
-                yield from _check_repeat(history, request, request_class, earlier, later, locations)
+                yield from _check_retry_safety(history, request, request_class, earlier, later, locations)
 
 
 def _observation_slack_seconds(history: History, earlier: Attempt, later: Attempt) -> float:
@@ -76,7 +76,7 @@
         yield request_violation(Invariant.CONCURRENT_ATTEMPTS, message, later.received_at_seconds, request)
 
 
-def _check_repeat(
+def _check_retry_safety(
     history: History,
     request: ClientRequest,
     request_class: RequestClass,
@@ -92,14 +92,14 @@
     if request_class.idempotency == Idempotency.NOT_IDEMPOTENT:
         yield violation("sent again though it may have executed")
     elif request_class.idempotency == Idempotency.IDEMPOTENCY_KEY:
-        apart_seconds = later.received_at_seconds - earlier.received_at_seconds
+        interval_seconds = later.received_at_seconds - earlier.received_at_seconds
         limit_seconds = request_class.deduplication_window_seconds + MAX_PROCESS_STALL_SECONDS
         limit_seconds += _observation_slack_seconds(history, earlier, later)
-        if apart_seconds > limit_seconds:
-            yield violation(f"sent again {apart_seconds:.2f} s later")
+        if interval_seconds > limit_seconds:
+            yield violation(f"sent again {interval_seconds:.2f} s later")
         first = locations[earlier.server]
         second = locations[later.server]
-        if not first.shares_keys_with(second, request_class.deduplication_scope):
+        if not first.shares_idempotency_keys_with(second, request_class.deduplication_scope):
             yield violation("sent again outside its deduplication scope")
 
 
@@ -113,10 +113,10 @@
         end_seconds = attempt.received_at_seconds
         limit_seconds = DISCONNECT_GRACE_SECONDS + SOCKET_SLACK_SECONDS
         limit_seconds += history.lag_seconds_within(start_seconds, end_seconds)
-        late_seconds = end_seconds - start_seconds
-        is_late = late_seconds > limit_seconds
+        lateness_seconds = end_seconds - start_seconds
+        is_late = lateness_seconds > limit_seconds
         if is_late and not was_stopped(history, request.sidecar, start_seconds, end_seconds):
-            message = f"an attempt came {late_seconds:.2f} s after the client had disconnected"
+            message = f"an attempt came {lateness_seconds:.2f} s after the client had disconnected"
             yield request_violation(Invariant.DISCONNECTED_CLIENT, message, end_seconds, request)
 
 
--- a/soak/invariants/endpoint_list.py
+++ b/soak/invariants/endpoint_list.py
@@ -26,8 +26,8 @@
         relevant = notifications.get((request.sidecar, attempt.server), [])
         since_seconds = _departing_since_seconds(relevant, started_at_seconds)
         if since_seconds is not None and started_at_seconds - since_seconds > grace_seconds:
-            late_seconds = started_at_seconds - since_seconds
-            message = f"sent to {attempt.server} {late_seconds:.2f} s after the sidecar knew of its departure"
+            lateness_seconds = started_at_seconds - since_seconds
+            message = f"sent to {attempt.server} {lateness_seconds:.2f} s after the sidecar knew of its departure"
             yield request_violation(Invariant.DRAIN, message, started_at_seconds, request)
 
 
--- a/soak/invariants/evidence.py
+++ b/soak/invariants/evidence.py
@@ -9,14 +9,14 @@
 from soak.invariants.tolerances import OBSERVATION_ORDER_SECONDS
 from soak.invariants.violation import Violation
 
-EVIDENCE_SECONDS = 3.0
+EVIDENCE_WINDOW_SECONDS = 3.0
 """Seconds before a violation whose faults are reported with it: as long as a fault lasts at most."""
 
 
 def relevant_events(history: History, violation: Violation) -> list[object]:
     """Return the subject of a violation, its attempts, its processes and the faults around it."""
     events: list[object] = list(violation.events)
-    start_seconds = violation.at_seconds - EVIDENCE_SECONDS
+    start_seconds = violation.at_seconds - EVIDENCE_WINDOW_SECONDS
     for subject in violation.events:
         if isinstance(subject, ClientRequest):
             start_seconds = min(start_seconds, subject.sent_at_seconds - OBSERVATION_ORDER_SECONDS)
--- a/soak/invariants/processes.py
+++ b/soak/invariants/processes.py
@@ -17,7 +17,7 @@
 """Seconds in which a process has to become ready, also while sockets are short."""
 EXPECTED_EXIT_STATUSES = (0, -signal.SIGKILL)
 """A process ends in order, or is killed by the soak."""
-ALARMS = (
+DEFECT_LOG_TEXTS = (
     "Traceback",
     "ERROR",
     "CRITICAL",
@@ -26,15 +26,15 @@
     "never retrieved",
 )
 """A log line with one of these texts reports a defect of the sidecar."""
-EXPECTED_ERRORS = ("reload_failed",)
+EXPECTED_LOG_TEXTS = ("reload_failed",)
 """A log line with one of these texts reports an injected fault, not a defect."""
-MALFORMED_PEER_SECONDS = 3.0
+MALFORMED_PEER_TIMEOUT_SECONDS = 3.0
 """Seconds within which a peer that sends no valid request has to get an error or a close."""
-MALFORMED_PEER_WATCH_SECONDS = 4.0
+MALFORMED_PEER_EXEMPTION_SECONDS = 4.0
 """Seconds from the connection on in which a stop of the process exempts it from responding."""
 SUCCESS_STATUS_PREFIX = "HTTP/1.1 2"
 """The first bytes of a response that serves a request."""
-RECOVERY_SECONDS = 3.0
+RECOVERY_WINDOW_SECONDS = 3.0
 """Seconds at the end of the soak, without faults, in which each sidecar has to serve again."""
 MIN_RECOVERED_SHARE = 0.5
 """Share of the requests in that time that has to be served; the rest may be shed."""
@@ -84,9 +84,9 @@
 def _check_log(incarnation: SidecarIncarnation) -> Iterator[Violation]:
     at_seconds = incarnation.ended_at_seconds or incarnation.started_at_seconds
     for line in incarnation.log.splitlines():
-        is_alarm = any(alarm in line for alarm in ALARMS)
-        is_expected = any(error in line for error in EXPECTED_ERRORS)
-        if is_alarm and not is_expected:
+        reports_defect = any(alarm in line for alarm in DEFECT_LOG_TEXTS)
+        is_expected = any(error in line for error in EXPECTED_LOG_TEXTS)
+        if reports_defect and not is_expected:
             yield Violation(Invariant.LOG, line, at_seconds, (incarnation,))
 
 
@@ -103,21 +103,21 @@
 
 def _is_handled_in_time(history: History, peer: MalformedPeer) -> bool:
     connected_at_seconds = peer.connected_at_seconds
-    watch_end_seconds = connected_at_seconds + MALFORMED_PEER_WATCH_SECONDS
-    if peer.first_bytes or was_stopped(history, peer.sidecar, connected_at_seconds, watch_end_seconds):
+    exemption_end_seconds = connected_at_seconds + MALFORMED_PEER_EXEMPTION_SECONDS
+    if peer.first_bytes or was_stopped(history, peer.sidecar, connected_at_seconds, exemption_end_seconds):
         return True
     if peer.ended_at_seconds is None:
         return False
-    limit_seconds = MALFORMED_PEER_SECONDS + SOCKET_SLACK_SECONDS
+    limit_seconds = MALFORMED_PEER_TIMEOUT_SECONDS + SOCKET_SLACK_SECONDS
     limit_seconds += history.lag_seconds_within(
-        connected_at_seconds, connected_at_seconds + MALFORMED_PEER_SECONDS
+        connected_at_seconds, connected_at_seconds + MALFORMED_PEER_TIMEOUT_SECONDS
     )
     return peer.ended_at_seconds - connected_at_seconds <= limit_seconds
 
 
 def check_recovery(history: History, _deployment: Deployment) -> Iterator[Violation]:
     """Once all faults are over, each sidecar serves again."""
-    since_seconds = history.ended_at_seconds - RECOVERY_SECONDS
+    since_seconds = history.ended_at_seconds - RECOVERY_WINDOW_SECONDS
     requests_by_sidecar: dict[str, list[ClientRequest]] = {}
     for request in history.requests.values():
         if request.sent_at_seconds >= since_seconds and request.disconnected_at_seconds is None:
--- a/soak/invariants/responses.py
+++ b/soak/invariants/responses.py
@@ -37,9 +37,9 @@
     if request.answered_at_seconds is not None:
         if request.answered_at_seconds <= limit_seconds:
             return None
-        late_seconds = request.answered_at_seconds - request.deadline_seconds
+        lateness_seconds = request.answered_at_seconds - request.deadline_seconds
         return request_violation(
-            Invariant.FINAL_RESPONSE, f"came {late_seconds:.2f} s late", request.answered_at_seconds, request
+            Invariant.FINAL_RESPONSE, f"came {lateness_seconds:.2f} s late", request.answered_at_seconds, request
         )
     if request.end is None:
         return request_violation(Invariant.FINAL_RESPONSE, "never came", limit_seconds, request)
@@ -84,7 +84,7 @@
     for request in history.requests.values():
         if request.status not in REJECTION_STATUSES or request.answered_at_seconds is None:
             continue
-        if deployment.request_class(request.request_class).may_always_execute_again:
+        if deployment.request_class(request.request_class).is_always_safe_to_retry:
             continue
         latest_seconds = request.answered_at_seconds - OBSERVATION_ORDER_SECONDS
         executed = [
--- a/soak/mutation_testing.py
+++ b/soak/mutation_testing.py
@@ -18,7 +18,7 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from soak.command_line import ExitStatus, PlainArgumentParser, positive_integer, seconds_between
+from soak.command_line import ExitStatus, OneLineErrorArgumentParser, positive_integer, seconds_between
 from soak.errors import MutationError, SoakError
 from soak.mutants import MUTANTS, Mutant
 from soak.runner import MIN_SECONDS
@@ -135,7 +135,7 @@
     return MutantResult(mutant.name, seed, {status: 1}, process.stderr[-MAX_ERROR_CHARACTERS:])
 
 
-def _select(words: Sequence[str]) -> list[Mutant]:
+def _select_mutants(words: Sequence[str]) -> list[Mutant]:
     """Return the mutants whose name has one of the words; all without words."""
     return [mutant for mutant in MUTANTS if not words or any(word in mutant.name for word in words)]
 
@@ -148,8 +148,8 @@
         yield from executor.map(lambda mutant: run_mutant(mutant, seeds, seconds), mutants)
 
 
-def _parse(arguments: Sequence[str] | None) -> argparse.Namespace:
-    parser = PlainArgumentParser(
+def _parse_arguments(arguments: Sequence[str] | None) -> argparse.Namespace:
+    parser = OneLineErrorArgumentParser(
         prog="python -m soak.mutation_testing", description=DESCRIPTION, epilog=EPILOG
     )
     parser.add_argument(
@@ -174,7 +174,7 @@
         "--jobs", type=positive_integer, default=1, help="soaks at the same time (default: %(default)s)"
     )
     options = parser.parse_args(arguments)
-    options.mutants = _select(options.words)
+    options.mutants = _select_mutants(options.words)
     if not options.mutants:
         parser.error(f"no mutant's name has one of the words {', '.join(options.words)}")
     return options
@@ -182,7 +182,7 @@
 
 def main(arguments: Sequence[str] | None = None) -> int:
     """Run the mutants, print one line for each and return the exit status."""
-    options = _parse(arguments)
+    options = _parse_arguments(arguments)
     if options.list:
         print("\n".join(mutant.name for mutant in options.mutants))
         return ExitStatus.OK
--- a/soak/runner.py
+++ b/soak/runner.py
@@ -27,9 +27,9 @@
 from soak.report import SoakReport
 from soak.sidecar.syscall_faults import build_fault_library
 
-FAULT_SECONDS = 2.0
+MIN_FAULT_PHASE_SECONDS = 2.0
 """Seconds in which faults start in the shortest soak."""
-MIN_SECONDS = FAULT_FREE_START_SECONDS + MAX_FAULT_SECONDS + FAULT_FREE_END_SECONDS + FAULT_SECONDS
+MIN_SECONDS = FAULT_FREE_START_SECONDS + MAX_FAULT_SECONDS + FAULT_FREE_END_SECONDS + MIN_FAULT_PHASE_SECONDS
 """Seconds of the shortest soak."""
 MAX_SECONDS = 3600.0
 """Seconds of the longest soak; its history is kept in memory."""
--- a/soak/sidecar/settings_document.py
+++ b/soak/sidecar/settings_document.py
@@ -81,10 +81,10 @@
     return {
         "Name": request_class.name,
         "Effect": request_class.idempotency.value,
-        "AimNs": _nanoseconds(request_class.objective_seconds),
+        "AimNs": _nanoseconds(request_class.latency_objective_seconds),
         "HardLimitNs": _nanoseconds(request_class.timeout_seconds),
         "Importance": DEFAULT_PRIORITY if is_repeatable else NOT_IDEMPOTENT_PRIORITY,
-        "LateWorth": request_class.late_answer_value,
+        "LateWorth": request_class.late_response_value,
         "KeyScope": request_class.deduplication_scope.value,
         "WindowNs": _nanoseconds(request_class.deduplication_window_seconds),
         "Stream": False,
--- a/tests/soak/test_command_line.py
+++ b/tests/soak/test_command_line.py
@@ -8,7 +8,7 @@
 
 
 @pytest.mark.parametrize("arguments", [["--seconds", "1"], ["--seconds", "x"], ["--seed", "x"], ["--what"]])
-def test_invalid_arguments_are_refused_in_one_line(
+def test_invalid_arguments_are_rejected_with_one_line(
     arguments: list[str], capsys: pytest.CaptureFixture[str]
 ) -> None:
     with pytest.raises(SystemExit) as caught:
--- a/tests/soak/test_mutation_testing.py
+++ b/tests/soak/test_mutation_testing.py
@@ -38,7 +38,7 @@
     "arguments",
     [["no such mutant"], ["--jobs", "0"], ["--jobs", "x"], ["--seconds", "1"], ["--seeds", "x"], ["--what"]],
 )
-def test_invalid_arguments_are_refused_in_one_line(
+def test_invalid_arguments_are_rejected_with_one_line(
     arguments: list[str], capsys: pytest.CaptureFixture[str]
 ) -> None:
     with pytest.raises(SystemExit) as caught:
