--- a/soak/fault_injection/__init__.py
+++ b/soak/fault_injection/__init__.py
@@ -1,1 +1,1 @@
-"""Injects the planned faults into the running fleet. There is a class for each kind of target."""
+"""Injects the planned faults into the running fleet; there is an injector class for each kind of target."""
--- a/soak/fault_injection/account_server_faults.py
+++ b/soak/fault_injection/account_server_faults.py
@@ -1,4 +1,4 @@
-"""Faults of the account servers."""
+"""Faults of the account servers: misbehaviour, restarts and draining."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def selected_server_fault(strength: float) -> ServerFault:
-    """Return how a server misbehaves under a fault of this strength."""
+    """Return the misbehaviour of a server that a fault of this strength selects."""
     faults = [fault for fault in ServerFault if fault != ServerFault.NONE]
     return faults[int(strength * len(faults)) % len(faults)]
 
@@ -53,7 +53,7 @@
         return target
 
     async def _send_duplicate_responses(self, fault: PlannedFault) -> str:
-        """Make all servers that are in order send duplicate responses."""
+        """Make all servers without another fault send duplicate responses."""
         servers = [server for server in self._fleet.servers if server.fault == ServerFault.NONE]
         for server in servers:
             server.fault = ServerFault.DUPLICATE_RESPONSE
@@ -65,7 +65,7 @@
         return f"{len(servers)} servers"
 
     async def _restart(self, fault: PlannedFault) -> str:
-        """Crash a server, and start it again as a process that warms up."""
+        """Crash a server, and start it again as a new process that warms up."""
         server = choose_server(self._fleet, fault)
         if not server.is_running:
             return _describe_stopped_server(server)
--- a/soak/fault_injection/client_faults.py
+++ b/soak/fault_injection/client_faults.py
@@ -1,4 +1,4 @@
-"""Faults of the clients."""
+"""Faults of the clients: disconnections, misbehaviour and pipelining."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 from soak.fleet import Fleet
 
 MISBEHAVIOURS = (*MALFORMED_BEHAVIOURS, Behaviour.DISCONNECTS, Behaviour.RESETS)
-"""What clients do more often under a fault."""
+"""The behaviours that clients show more often under a fault."""
 MAX_MISBEHAVIOUR_WEIGHT = 15.0
-"""Weight of each misbehaviour under the strongest fault, where that of ordinary clients is 80."""
+"""Weight of each misbehaviour under the strongest fault; that of clients that wait for a response is 80."""
 MAX_PIPELINE_WEIGHT = 20.0
-"""Weight of clients that pipeline under the strongest fault."""
+"""Weight of clients that pipeline requests, under the strongest fault."""
 
 
 class ClientFaultInjector:
@@ -45,7 +45,7 @@
         return await self._run_with_weights(fault, {Behaviour.PIPELINES: weight})
 
     async def _run_with_weights(self, fault: PlannedFault, changes: dict[Behaviour, float]) -> str:
-        """Change the weights of some behaviours for the time of a fault."""
+        """Change the weights of some behaviours for the duration of a fault."""
         member = choose_member(self._fleet, fault)
         member.load.profile.weights = default_profile().weights | changes
         await asyncio.sleep(fault.seconds)
--- a/soak/fault_injection/discovery_faults.py
+++ b/soak/fault_injection/discovery_faults.py
@@ -1,4 +1,4 @@
-"""Faults of discovery."""
+"""Faults of discovery: unresponsive watches, reset connections and outages."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from soak.fleet import Fleet
 
 ALL_AGENTS_STRENGTH = 0.5
-"""Strength of an outage from which on it affects the agents of all sidecars."""
+"""Strength from which on an outage affects the agents of all sidecars, not of one."""
 
 
 class DiscoveryFaultInjector:
--- a/soak/fault_injection/injector.py
+++ b/soak/fault_injection/injector.py
@@ -1,4 +1,4 @@
-"""Runs a fault plan: the registry of all injections, and a task for each planned fault."""
+"""Runs a fault plan: the registry of all injections, and the injector that runs a task for each fault."""
 
 from __future__ import annotations
 
--- a/soak/fault_injection/network_faults.py
+++ b/soak/fault_injection/network_faults.py
@@ -13,7 +13,7 @@
 MAX_DELAY_SECONDS = 0.05
 """Seconds by which a slow network delays each piece of data, at most."""
 MAX_PIECE_BYTES = 2000
-"""Bytes of the pieces into which a slow network fragments data, at most."""
+"""Bytes of a piece into which a slow network fragments data, at most."""
 MAX_RESET_PROBABILITY = 0.3
 """Probability for each piece of data that its connection is reset, at most."""
 MAX_ACCEPT_DELAY_SECONDS = 1.0
@@ -21,7 +21,7 @@
 
 
 class NetworkFaultInjector:
-    """Makes the network of one account server drop, delay or reset what passes."""
+    """Makes the network of one account server drop, delay or fragment data, or reset connections."""
 
     def __init__(self, fleet: Fleet, random: Random) -> None:
         self._fleet = fleet
@@ -56,7 +56,7 @@
         return await self._run_in_mode(fault, mode)
 
     async def _run_in_mode(self, fault: PlannedFault, mode: ProxyMode) -> str:
-        """Set the mode of a server's proxy for the time of a fault."""
+        """Set the mode of a server's proxy for the duration of a fault."""
         server = choose_server(self._fleet, fault)
         server.proxy.set_mode(mode)
         await asyncio.sleep(fault.seconds)
--- a/soak/fault_injection/process_faults.py
+++ b/soak/fault_injection/process_faults.py
@@ -15,23 +15,23 @@
 from soak.sidecar.syscall_faults import FaultyCall
 
 MAX_PAUSE_SECONDS = 0.15
-"""Seconds for which a sidecar may be stalled; the invariants allow for no more."""
+"""Seconds for which a sidecar is stalled, at most; the invariants tolerate no longer stall."""
 MAX_RESTART_DELAY_SECONDS = 0.3
 """Seconds between the end of a process and the start of the next, at most."""
 READY_TIMEOUT_SECONDS = 10.0
 """Seconds that a process may take to become ready, or to end after SIGKILL."""
 MAX_SHUTDOWN_SECONDS = 3.0
-"""Seconds that a graceful shutdown may take for requests with long timeouts."""
+"""Seconds that a graceful shutdown may take at most, even if requests have longer timeouts."""
 KILL_MARGIN_SECONDS = 0.7
-"""Seconds beyond the time of a graceful shutdown after which the process is killed."""
+"""Seconds that a process gets beyond the time of a graceful shutdown, before it is killed."""
 SOCKET_SHORTAGE_STRENGTH = 0.6
-"""Strength of a restart beyond which the new process gets no socket at first."""
+"""Strength of a restart beyond which the new process cannot get sockets at first."""
 FAILED_SOCKET_CALLS_AT_START = 4
-"""Sockets that a new process fails to get."""
+"""Calls of socket that fail in a new process that cannot get sockets at first."""
 UNREADABLE_CONFIGURATION_STRENGTH = 0.6
 """Strength of a reload beyond which the configuration cannot be read at first."""
 MAX_ADDITIONAL_RELOAD_SIGNALS = 2
-"""SIGHUP signals that follow the first of a reload at once, at most."""
+"""SIGHUP signals that immediately follow the first one of a reload, at most."""
 NANOSECONDS_PER_SECOND = 1_000_000_000
 
 
@@ -79,7 +79,7 @@
         return sidecar.name
 
     async def _restart(self, member: Member, fault: PlannedFault) -> None:
-        """Start the next process of a sidecar; a strong fault keeps it from getting a socket at first."""
+        """Start the next process of a sidecar; under a strong fault it cannot get sockets at first."""
         sidecar = member.sidecar
         await asyncio.sleep(MAX_RESTART_DELAY_SECONDS * self._random.random())
         if fault.strength > SOCKET_SHORTAGE_STRENGTH:
@@ -89,7 +89,7 @@
         await sidecar.wait_until_ready(READY_TIMEOUT_SECONDS)
 
     async def _reload(self, fault: PlannedFault) -> str:
-        """Reload a configuration with a new address of discovery, several times at once."""
+        """Reload a configuration with a new address of discovery; a strong fault sends several signals at once."""
         sidecar = choose_member(self._fleet, fault).sidecar
         if not sidecar.is_serving or sidecar.agent.is_down:
             return f"{sidecar.name}, which did not serve or had no discovery"
@@ -115,7 +115,7 @@
         return sidecar.name
 
     async def _pause(self, fault: PlannedFault) -> str:
-        """Stall a process for a moment."""
+        """Stall a process for a moment with SIGSTOP."""
         sidecar = choose_member(self._fleet, fault).sidecar
         sidecar.send_signal(signal.SIGSTOP)
         await asyncio.sleep(MAX_PAUSE_SECONDS * fault.strength)
@@ -123,7 +123,7 @@
         return sidecar.name
 
     async def _step_wall_clock(self, fault: PlannedFault) -> str:
-        """Step the wall clock of all sidecars, and that of the endpoint list's start times."""
+        """Step the wall clock of all sidecars, and the one that gives the start times in the endpoint list."""
         step_seconds = wall_clock_step_seconds(fault.strength)
         clock = self._fleet.clock
         clock.wall_clock_offset_ns += int(step_seconds * NANOSECONDS_PER_SECOND)
--- a/soak/fault_injection/system_call_faults.py
+++ b/soak/fault_injection/system_call_faults.py
@@ -1,4 +1,4 @@
-"""Faults of the system calls of sidecar processes."""
+"""Faults of the system calls of sidecar processes: failures, short transfers and interruptions."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 from soak.sidecar.syscall_faults import FaultyCall
 
 MAX_FAILED_CALLS = 20
-"""Calls that fail in a row under the strongest fault."""
+"""Consecutive calls that fail under the strongest fault."""
 MIN_TRANSFER_BYTES = 200
-"""Bytes of a short read or write; with one byte each, a request of 20 KB would miss its deadline."""
+"""Bytes of a short read or write, at least; at one byte each, a request of 20 KB would miss its deadline."""
 TRANSFER_BYTES_RANGE = 1000
 """Bytes by which a short read or write may exceed the minimum."""
 MIN_INTERRUPT_INTERVAL = 2
-"""Calls; every second one is interrupted under the weakest strength, and the retry succeeds."""
+"""Calls per interruption, at least; at 2, every second call is interrupted and its retry succeeds."""
 INTERRUPT_INTERVAL_RANGE = 5
-"""Calls by which the interval may exceed the minimum."""
+"""Calls by which the interval between interruptions may exceed the minimum."""
 
 ACCEPT_ERRORS = (
     errno.ECONNABORTED,
@@ -30,9 +30,9 @@
     errno.ENOMEM,
     errno.EPROTO,
 )
-"""Errors that accept(2) documents for a listening socket in order."""
+"""Errors that accept(2) documents for an intact listening socket."""
 SOCKET_ERRORS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
-"""Errors that socket(2) documents for a shortage."""
+"""Errors that socket(2) documents for a shortage of descriptors or memory."""
 CONNECT_ERRORS = (
     errno.EADDRNOTAVAIL,
     errno.ENETUNREACH,
@@ -45,7 +45,7 @@
 
 
 class SystemCallFaultInjector:
-    """Makes system calls of one sidecar fail, transfer little, or be interrupted."""
+    """Makes system calls of one sidecar fail, transfer few bytes or be interrupted."""
 
     def __init__(self, fleet: Fleet, random: Random) -> None:
         self._fleet = fleet
--- a/soak/fault_injection/targets.py
+++ b/soak/fault_injection/targets.py
@@ -1,4 +1,4 @@
-"""What all injectors share: the type of an injection, and the choice of its target."""
+"""The type of an injection and the selection of its target, which all injectors share."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 """Injects a fault, waits for its end and returns a description of its target."""
 
 InjectionsByKind = Mapping[FaultKind, Injection]
-"""The injections of one class, by the kind of fault."""
+"""The injections of one injector class, by the kind of fault."""
 
 
 def choose_member(fleet: Fleet, fault: PlannedFault) -> Member:
-    """Return the sidecar, with its clients, that a fault hits."""
+    """Return the sidecar, with its clients, that is the target of a fault."""
     return fleet.members[int(fault.choice * len(fleet.members)) % len(fleet.members)]
 
 
 def choose_server(fleet: Fleet, fault: PlannedFault) -> AccountServer:
-    """Return the account server that a fault hits."""
+    """Return the account server that is the target of a fault."""
     return fleet.servers[int(fault.choice * len(fleet.servers)) % len(fleet.servers)]
--- a/soak/fault_plan.py
+++ b/soak/fault_plan.py
@@ -1,4 +1,4 @@
-"""Which faults a soak injects and when, drawn from its seed before it starts."""
+"""The fault plan: which faults a soak injects and when. It is drawn from the seed before the soak starts."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 from soak.deployment import Deployment
 
 FAULT_FREE_START_SECONDS = 2.5
-"""Seconds without faults at the start, so that there are connections and estimates to disturb."""
+"""Seconds without faults at the start, so that faults meet open connections and settled estimates."""
 FAULT_FREE_END_SECONDS = 12.0
-"""Seconds without faults at the end, for the fleet to recover: longer than a server takes to warm up."""
+"""Seconds without faults at the end, in which the fleet recovers: longer than the warm-up of a server."""
 MIN_FAULT_SECONDS = 0.2
-"""Seconds that a fault lasts at least: long enough to meet some requests."""
+"""Seconds that a fault lasts at least: long enough to affect some requests."""
 MAX_FAULT_SECONDS = 3.0
 """Seconds that a fault lasts at most: longer than any client waits."""
 CLUSTER_INTERVAL_SECONDS = 0.5
@@ -25,13 +25,13 @@
 MAX_FAULTS_PER_CLUSTER = 4
 """Faults; with more the fleet serves too little to show defects."""
 SAME_TARGET_PROBABILITY = 0.6
-"""Probability that a fault hits the target of its cluster, where faults that overlap interact."""
+"""Probability that a fault has the target of its cluster, so that overlapping faults interact."""
 WALL_CLOCK_STEPS_SECONDS = (3600.0, -3600.0, 5.0, -5.0)
-"""Steps of the wall clock: as after a long outage of time synchronization, and as a correction."""
+"""Steps of the wall clock: large ones as after a long outage of time synchronization, and corrections."""
 
 
 class FaultKind(StrEnum):
-    """What a fault does, to one target or to all. A plan draws from them by their order."""
+    """What a fault does, to one target or to all. A plan selects them by their order, so the order stays."""
 
     STOP_SIDECAR = "SIGTERM, then a new process"
     KILL_SIDECAR = "SIGKILL, then a new process"
@@ -62,15 +62,15 @@
 
 @dataclass(frozen=True, slots=True)
 class PlannedFault:
-    """A fault that is to come. Its target is chosen by `choice` among those that exist then."""
+    """A fault of the plan. `choice` selects its target among those that exist when the fault starts."""
 
     kind: FaultKind
     starts_at_seconds: float
     seconds: float
     choice: float
-    """From 0 to 1: which target."""
+    """From 0 to 1: selects the target by its position."""
     strength: float
-    """From 0 to 1: how severe."""
+    """From 0 to 1: how severe the fault is, or which variant of its kind it is."""
 
 
 def draw_fault_plan(random: Random, seconds: float) -> list[PlannedFault]:
@@ -85,7 +85,7 @@
 
 
 def _draw_cluster(random: Random, start_seconds: float, last_start_seconds: float) -> list[PlannedFault]:
-    """Draw faults that start close together; the order of the draws is part of a seed."""
+    """Draw faults that start close together; a change of the order of the draws changes the plan of a seed."""
     cluster_choice = random.random()
     faults = []
     for _ in range(random.randint(MIN_FAULTS_PER_CLUSTER, MAX_FAULTS_PER_CLUSTER)):
@@ -104,13 +104,13 @@
 
 
 def wall_clock_step_seconds(strength: float) -> float:
-    """Return the step that a strength stands for."""
+    """Return the step of the wall clock, in seconds, that a strength selects."""
     index = int(strength * len(WALL_CLOCK_STEPS_SECONDS))
     return WALL_CLOCK_STEPS_SECONDS[min(len(WALL_CLOCK_STEPS_SECONDS) - 1, index)]
 
 
 def describe(deployment: Deployment, plan: list[PlannedFault]) -> str:
-    """Describe a soak in one line."""
+    """Return a description of a soak in one line."""
     discovery = "polled" if deployment.is_discovery_polled else "pushed"
     return (
         f"{deployment.sidecar_count} sidecars, {deployment.server_count} account servers, "
--- a/soak/fleet.py
+++ b/soak/fleet.py
@@ -23,30 +23,32 @@
 from soak.sidecar.syscall_faults import SyscallFaults
 
 READY_TIMEOUT_SECONDS = 30.0
-"""Seconds in which all sidecars have to become ready: they start at once and compete for the processor."""
+"""Seconds within which all sidecars have to become ready; they start at once and compete for processors."""
 STOP_TIMEOUT_SECONDS = 6.0
 """Seconds that a graceful shutdown may take at the end: longer than any client waits."""
 SAMPLE_INTERVAL_SECONDS = 0.25
-"""Seconds between two samples of what the processes use."""
+"""Seconds between two samples of the resources that the processes use."""
 
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """A sidecar and the clients that use it."""
+    """A sidecar of the fleet and the clients that send requests to it."""
 
     sidecar: SidecarProcess
     load: ClientLoad
 
 
 class Fleet:
-    """Everything that runs in a soak.
+    """Everything that runs in a soak: account servers, discovery, sidecars and clients.
 
     Attributes:
         servers: the account servers that neither drain nor are removed.
         members: the sidecars with their clients.
     """
 
-    def __init__(self, deployment: Deployment, history: History, random: Random, working_directory: Path) -> None:
+    def __init__(
+        self, deployment: Deployment, history: History, random: Random, working_directory: Path
+    ) -> None:
         self.deployment = deployment
         self.history = history
         self.clock = HarnessClock()
@@ -59,7 +61,7 @@
         self._tasks: list[asyncio.Task[None]] = []
 
     async def start(self, fault_library: Path) -> None:
-        """Start the account servers, then the sidecars.
+        """Start the account servers, then the discovery agents and the sidecars.
 
         Raises:
             SidecarNotReadyError: a sidecar does not become ready.
@@ -78,20 +80,20 @@
         self._tasks += [asyncio.create_task(member.load.run()) for member in self.members]
 
     async def replace_server(self, server: AccountServer) -> None:
-        """Start a server that warms up in the place of another, under a name of its own."""
+        """Start a server that warms up in place of another one, under a new name."""
         original_name = server.identity.name.partition("-")[0]
         name = f"{original_name}-{len(self._all_servers)}"
         await self._start_server(name, server.identity.zone, server.identity.cell, needs_warm_up=True)
 
     async def stop_load(self) -> None:
-        """Start no further client, and wait for those that have started."""
+        """Start no more clients, and wait until those that have started are done."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
         await asyncio.gather(*(member.load.finish() for member in self.members))
 
     async def stop(self) -> None:
-        """End all processes and servers."""
+        """End all sidecar processes and account servers."""
         for member in self.members:
             self._record_state(member.sidecar)
             member.sidecar.send_signal(signal.SIGTERM)
@@ -140,7 +142,11 @@
         return Member(sidecar, load)
 
     async def _start_sidecars(self) -> None:
-        """Start all sidecars at once. Raises SidecarNotReadyError if one does not become ready."""
+        """Start all sidecars at once.
+
+        Raises:
+            SidecarNotReadyError: a sidecar does not become ready.
+        """
         sidecars = [member.sidecar for member in self.members]
         readiness = await asyncio.gather(*(_start_and_wait_until_ready(sidecar) for sidecar in sidecars))
         for sidecar, is_ready in zip(sidecars, readiness, strict=True):
@@ -155,7 +161,7 @@
                     self._record_state(member.sidecar)
 
     def _record_state(self, sidecar: SidecarProcess) -> None:
-        """Record what a sidecar uses, and what it has to know of the endpoint list by now."""
+        """Record the resource usage of a sidecar, and the changes of the endpoint list that it has to know by now."""
         sidecar.record_resource_usage()
         sidecar.agent.record_overdue()
 
--- a/soak/history/__init__.py
+++ b/soak/history/__init__.py
@@ -1,1 +1,1 @@
-"""What happened during a soak: the recorded events and the clock that dates them."""
+"""The history of a soak: the recorded events, and the clock that gives their times."""
--- a/soak/history/clock.py
+++ b/soak/history/clock.py
@@ -9,13 +9,17 @@
 from soak.history.history import History
 
 LAG_PROBE_INTERVAL_SECONDS = 0.01
-"""Seconds between two measurements: well below the tolerances of the invariants, at little processor time."""
+"""Seconds between two measurements: far below the tolerances of the invariants, at a low processor load."""
 MIN_LAG_SECONDS = 0.002
 """Seconds; shorter lags are timer jitter and are not recorded."""
 
 
 class HarnessClock:
-    """Seconds since the start of the soak, and a wall clock that is stepped for the whole fleet at once."""
+    """Gives the time since the start of the soak, and a wall clock that faults step for the whole fleet.
+
+    Attributes:
+        wall_clock_offset_ns: how far the stepped wall clock is ahead of the machine's, in nanoseconds.
+    """
 
     def __init__(self) -> None:
         self._started_at_seconds = time.monotonic()
@@ -26,7 +30,7 @@
         return time.monotonic() - self._started_at_seconds
 
     def wall_time_ns(self) -> int:
-        """Return the stepped wall clock, in nanoseconds since the Unix epoch."""
+        """Return the time of the stepped wall clock, in nanoseconds since the Unix epoch."""
         return time.time_ns() + self.wall_clock_offset_ns
 
 
--- a/soak/history/events.py
+++ b/soak/history/events.py
@@ -1,4 +1,7 @@
-"""The events of a soak. Times are seconds of its monotonic clock since its start."""
+"""The events of a soak. Their times are seconds since the start of the soak, by a monotonic clock.
+
+The report contains the names of the classes and of their fields.
+"""
 
 from __future__ import annotations
 
@@ -41,19 +44,21 @@
     sidecar: str
     request_class: str
     sent_at_seconds: float
-    """When its last byte was written; 0 before that."""
+    """When its last byte was written; 0 if it has not been written."""
     timeout_seconds: float
     is_first_on_connection: bool
     connection_idle_seconds: float = 0.0
-    """How long its connection had been idle before."""
+    """How long its connection had been idle before the request was sent."""
     blocked_until_seconds: float = 0.0
-    """The latest deadline of the requests before it on its connection, whose responses come first."""
+    """The latest deadline of the pending requests before it on its connection, whose responses come first."""
     retried_after: ConnectionEnd | None = None
-    """How its first connection ended, if the client sent the request once more."""
+    """How its first connection ended, if the client retried the request."""
     disconnected_at_seconds: float | None = None
-    """When its client closed the connection."""
+    """When its client closed the connection without waiting for the response."""
     answered_at_seconds: float | None = None
+    """When its response was complete."""
     status: int = 0
+    """The status of the response; 0 without a response."""
     body: str = ""
     ended_at_seconds: float | None = None
     """When the connection ended without a response."""
@@ -61,17 +66,18 @@
 
     @property
     def deadline_seconds(self) -> float:
-        """When its client gives up."""
+        """When the time that the client allows for the response is over."""
         return self.sent_at_seconds + self.timeout_seconds
 
 
 @dataclass(slots=True)
 class Attempt:
-    """A complete request that reached an account server."""
+    """An attempt, recorded once its complete request has reached the account server."""
 
     request_id: str
     server: str
     connection: int
+    """The number of its connection to the server."""
     started_at_seconds: float
     """When its first byte arrived."""
     received_at_seconds: float
@@ -81,7 +87,7 @@
     ended_at_seconds: float | None = None
     end: AttemptEnd | None = None
     body: str = ""
-    """Of the response that the server made."""
+    """The body of the response that the server made."""
 
     @property
     def may_have_executed(self) -> bool:
@@ -91,21 +97,22 @@
 
 @dataclass(slots=True)
 class ServerIncarnation:
-    """An account server from one start to its end."""
+    """One process of an account server, from its start to its end."""
 
     server: str
     zone: str
     cell: int
     started_at_seconds: float
     needs_warm_up: bool
+    """Whether it starts with a part of its capacity and warms up."""
     ended_at_seconds: float | None = None
     healthy_since_seconds: float = 0.0
-    """When the last fault on it ended, or when it started."""
+    """When the last fault of the server ended, or when it started."""
 
 
 @dataclass(slots=True)
 class EndpointNotification:
-    """A change of the endpoint list that a sidecar has to know from a time on."""
+    """A change of the endpoint list, and when a sidecar has to know it at the latest."""
 
     sidecar: str
     server: str
@@ -128,7 +135,9 @@
     ended_at_seconds: float | None = None
     exit_status: int | None = None
     max_descriptors: int = 0
+    """The largest number of open descriptors in a sample."""
     max_memory_megabytes: float = 0.0
+    """The largest memory usage in a sample."""
     log: str = ""
 
 
@@ -138,14 +147,16 @@
 
     sidecar: str
     behaviour: str
+    """What it did, in words."""
     connected_at_seconds: float
     ended_at_seconds: float | None = None
     first_bytes: str = ""
+    """The first bytes that it got from the sidecar."""
 
 
 @dataclass(slots=True)
 class InjectedFault:
-    """A fault, from its start to its end."""
+    """A fault of the plan, from its start to its end."""
 
     kind: str
     target: str
@@ -157,17 +168,17 @@
 
 @dataclass(slots=True)
 class HarnessLag:
-    """A time in which the event loop of the soak itself was late."""
+    """An interval in which the event loop of the soak itself was late."""
 
     started_at_seconds: float
     ended_at_seconds: float
 
     @property
     def seconds(self) -> float:
-        """How late it was."""
+        """How late the event loop was."""
         return self.ended_at_seconds - self.started_at_seconds
 
 
 def to_json(events: Iterable[Any]) -> list[dict[str, Any]]:
-    """Return events as JSON objects, each with its type."""
+    """Return events as JSON objects, each with the name of its class."""
     return [{"event": type(event).__name__} | asdict(event) for event in events]
--- a/soak/history/history.py
+++ b/soak/history/history.py
@@ -1,4 +1,4 @@
-"""The history of one soak: its events, and the queries that the invariants need."""
+"""The history of one soak: its events, and the queries that the checks of the invariants need."""
 
 from __future__ import annotations
 
@@ -46,19 +46,22 @@
         return attempts_by_request
 
     def lag_seconds_within(self, start_seconds: float, end_seconds: float) -> float:
-        """Return how long the soak itself was late within a time: what it saw then may have been earlier."""
+        """Return for how long the soak itself was late in an interval.
+
+        Events that it recorded in the interval may have happened that much earlier.
+        """
         return sum(
             min(lag.ended_at_seconds, end_seconds) - max(lag.started_at_seconds, start_seconds)
             for lag in self._lags_within(start_seconds, end_seconds)
         )
 
     def longest_lag_seconds_within(self, start_seconds: float, end_seconds: float) -> float:
-        """Return the longest single lag of the soak itself within a time."""
+        """Return the longest single lag of the soak itself in an interval."""
         lags = self._lags_within(start_seconds, end_seconds)
         return max((lag.seconds for lag in lags), default=0.0)
 
     def faults_within(self, start_seconds: float, end_seconds: float) -> Iterator[InjectedFault]:
-        """Yield the faults that were active at some moment of a time."""
+        """Yield the faults that were active at some point of an interval."""
         return (
             fault
             for fault in self.faults
@@ -66,7 +69,7 @@
         )
 
     def incarnation_at(self, sidecar: str, at_seconds: float) -> SidecarIncarnation | None:
-        """Return the process of a sidecar that ran at a time."""
+        """Return the process of a sidecar that ran at this time, or None if none did."""
         for incarnation in self.sidecars:
             if incarnation.sidecar != sidecar or incarnation.started_at_seconds > at_seconds:
                 continue
--- a/soak/invariants/__init__.py
+++ b/soak/invariants/__init__.py
@@ -1,1 +1,1 @@
-"""The oracle: what must hold of every history. There is a module for each family of invariants."""
+"""The invariants that must hold in every history of a soak. Each module checks one family of them."""
--- a/soak/invariants/attempts.py
+++ b/soak/invariants/attempts.py
@@ -1,4 +1,4 @@
-"""Invariants of the attempts that reach account servers."""
+"""Invariants of the attempts that reach account servers: retries, disconnected clients and deadlines."""
 
 from __future__ import annotations
 
@@ -15,22 +15,22 @@
 from soak.invariants.violation import Invariant, Violation, request_violation
 
 MAX_PROCESS_STALL_SECONDS = 0.15
-"""Seconds for which a sidecar may be stalled between reading its clock and writing."""
+"""Seconds for which a sidecar may be stalled between reading its clock and writing to a socket."""
 DISCONNECT_GRACE_SECONDS = 0.1
-"""Seconds after its client has disconnected for which an attempt may still start."""
+"""Seconds after the disconnection of a client during which an attempt for it may still start."""
 DEADLINE_SLACK_SECONDS = 0.15
-"""Seconds by which the announced remaining time may exceed what the client has left."""
+"""Seconds by which the announced remaining time may exceed the time until the client's deadline."""
 
 
 @dataclass(frozen=True, slots=True)
 class _Location:
-    """Where an account server is; it decides which servers share a record of idempotency keys."""
+    """The zone and cell of an account server, which decide with which servers it shares idempotency keys."""
 
     zone: str
     cell: int
 
     def shares_idempotency_keys_with(self, other: _Location, scope: DeduplicationScope) -> bool:
-        """Return whether servers at both places drop each other's repeats."""
+        """Return whether a server at one location drops a retry of a request executed at the other."""
         if scope == DeduplicationScope.ALL:
             return True
         if self.zone != other.zone:
@@ -51,7 +51,7 @@
             yield Violation(Invariant.DUPLICATE_EXECUTION, message, at_seconds, tuple(attempts))
             continue
         if len(attempts) > deployment.max_attempts:
-            message = f"{len(attempts)} attempts"
+            message = f"{len(attempts)} attempts, more than the settings allow"
             at_seconds = attempts[-1].received_at_seconds
             yield request_violation(Invariant.ATTEMPT_LIMIT, message, at_seconds, request)
         request_class = deployment.request_class(request.request_class)
@@ -62,6 +62,7 @@
 
 
 def _observation_slack_seconds(history: History, earlier: Attempt, later: Attempt) -> float:
+    """Return by how many seconds the recorded times of two attempts may differ from the actual ones."""
     end_seconds = later.received_at_seconds + OBSERVATION_ORDER_SECONDS
     return OBSERVATION_ORDER_SECONDS + history.lag_seconds_within(earlier.received_at_seconds, end_seconds)
 
@@ -69,10 +70,10 @@
 def _check_overlap(
     history: History, request: ClientRequest, earlier: Attempt, later: Attempt
 ) -> Iterator[Violation]:
-    """Yield a violation if both attempts were in flight at once."""
+    """Yield a violation if the later attempt was sent while the earlier one was still in flight."""
     slack_seconds = _observation_slack_seconds(history, earlier, later)
     if (earlier.ended_at_seconds or math.inf) > later.received_at_seconds + slack_seconds:
-        message = "sent while another attempt was in flight"
+        message = "retried while another attempt was in flight"
         yield request_violation(Invariant.CONCURRENT_ATTEMPTS, message, later.received_at_seconds, request)
 
 
@@ -90,17 +91,17 @@
         return request_violation(Invariant.DUPLICATE_EXECUTION, message, later.received_at_seconds, request)
 
     if request_class.idempotency == Idempotency.NOT_IDEMPOTENT:
-        yield violation("sent again though it may have executed")
+        yield violation("retried although it may have executed and is not idempotent")
     elif request_class.idempotency == Idempotency.IDEMPOTENCY_KEY:
         interval_seconds = later.received_at_seconds - earlier.received_at_seconds
         limit_seconds = request_class.deduplication_window_seconds + MAX_PROCESS_STALL_SECONDS
         limit_seconds += _observation_slack_seconds(history, earlier, later)
         if interval_seconds > limit_seconds:
-            yield violation(f"sent again {interval_seconds:.2f} s later")
+            yield violation(f"retried {interval_seconds:.2f} s later, after its deduplication window")
         first = locations[earlier.server]
         second = locations[later.server]
         if not first.shares_idempotency_keys_with(second, request_class.deduplication_scope):
-            yield violation("sent again outside its deduplication scope")
+            yield violation("retried outside its deduplication scope")
 
 
 def check_disconnected_clients(history: History, _deployment: Deployment) -> Iterator[Violation]:
@@ -116,7 +117,7 @@
         lateness_seconds = end_seconds - start_seconds
         is_late = lateness_seconds > limit_seconds
         if is_late and not was_stopped(history, request.sidecar, start_seconds, end_seconds):
-            message = f"an attempt came {lateness_seconds:.2f} s after the client had disconnected"
+            message = f"an attempt started {lateness_seconds:.2f} s after the client had disconnected"
             yield request_violation(Invariant.DISCONNECTED_CLIENT, message, end_seconds, request)
 
 
--- a/soak/invariants/endpoint_list.py
+++ b/soak/invariants/endpoint_list.py
@@ -1,4 +1,7 @@
-"""The invariant of the endpoint list: departing account servers get nothing new."""
+"""The invariant of the endpoint list: departing account servers get no new attempts.
+
+A server departs from when the endpoint list shows it as draining or removed.
+"""
 
 from __future__ import annotations
 
@@ -12,7 +15,10 @@
 
 
 def check_drains(history: History, deployment: Deployment) -> Iterator[Violation]:
-    """Nothing new goes to an account server that drains or is removed, once the grace time is over."""
+    """No attempt starts at an account server that drains or is removed, once the grace time is over.
+
+    The grace time starts when the sidecar has to know of the departure.
+    """
     notifications = _notifications_by_sidecar_and_server(history)
     for attempt in history.attempts:
         request = history.requests.get(attempt.request_id)
@@ -27,7 +33,10 @@
         since_seconds = _departing_since_seconds(relevant, started_at_seconds)
         if since_seconds is not None and started_at_seconds - since_seconds > grace_seconds:
             lateness_seconds = started_at_seconds - since_seconds
-            message = f"sent to {attempt.server} {lateness_seconds:.2f} s after the sidecar knew of its departure"
+            message = (
+                f"sent to {attempt.server} {lateness_seconds:.2f} s after the sidecar had to know "
+                "that it departs"
+            )
             yield request_violation(Invariant.DRAIN, message, started_at_seconds, request)
 
 
@@ -44,7 +53,7 @@
 def _departing_since_seconds(
     notifications: Iterable[EndpointNotification], at_seconds: float
 ) -> float | None:
-    """Return since when a server counts as departing at a time, or None if it does not."""
+    """Return since when a server has been departing at a point in time, or None if it is up then."""
     since_seconds: float | None = None
     for notification in notifications:
         if notification.notified_at_seconds > at_seconds:
--- a/soak/invariants/evidence.py
+++ b/soak/invariants/evidence.py
@@ -10,11 +10,11 @@
 from soak.invariants.violation import Violation
 
 EVIDENCE_WINDOW_SECONDS = 3.0
-"""Seconds before a violation whose faults are reported with it: as long as a fault lasts at most."""
+"""Seconds before a violation in which faults are reported with it: the longest duration of a fault."""
 
 
 def relevant_events(history: History, violation: Violation) -> list[object]:
-    """Return the subject of a violation, its attempts, its processes and the faults around it."""
+    """Return the events of a violation, its requests' attempts and processes, and the faults around it."""
     events: list[object] = list(violation.events)
     start_seconds = violation.at_seconds - EVIDENCE_WINDOW_SECONDS
     for subject in violation.events:
--- a/soak/invariants/exemptions.py
+++ b/soak/invariants/exemptions.py
@@ -1,4 +1,7 @@
-"""What exempts a request or a connection from an invariant: its process ended, or a keep-alive race."""
+"""Exemptions of requests and connections from invariants: the end of a process, and keep-alive races.
+
+In a keep-alive race the client writes a request while the sidecar closes the idle connection.
+"""
 
 from __future__ import annotations
 
@@ -9,13 +12,16 @@
 from soak.invariants.tolerances import LATE_RESPONSE_SECONDS
 
 KEEP_ALIVE_RACE_SECONDS = 0.05
-"""Seconds. An idle connection that ends this soon after a request was written raced with the request."""
+"""Seconds after the writing of a request within which the end of an idle connection is a race with it."""
 MIN_IDLE_BEFORE_CLOSE_SECONDS = 1.9
-"""Seconds. A connection may be closed once it has been idle this long; at once during a shutdown."""
+"""Seconds for which a connection has to be idle before a sidecar may close it, except during a shutdown."""
 
 
 def was_killed(history: History, request: ClientRequest) -> bool:
-    """Return whether the process with the request was killed before its response was due."""
+    """Return whether the process with the request was killed before its response was due.
+
+    A process that was killed after SIGTERM does not count, because it had the time to respond.
+    """
     return any(
         incarnation.sidecar == request.sidecar
         and incarnation.killed_at_seconds is not None
@@ -28,7 +34,7 @@
 
 
 def was_stopped(history: History, sidecar: str, start_seconds: float, end_seconds: float) -> bool:
-    """Return whether a process of the sidecar ended, or was asked to stop, within a time."""
+    """Return whether a process of the sidecar ended, was killed or was asked to stop in an interval."""
     for incarnation in history.sidecars:
         if incarnation.sidecar != sidecar:
             continue
@@ -43,7 +49,10 @@
 
 
 def is_keep_alive_race(history: History, request: ClientRequest) -> bool:
-    """Return whether the request met the close of an idle connection: it was not read and may be retried."""
+    """Return whether the sidecar closed the idle connection while the request was being written.
+
+    The sidecar has not read such a request, so the client may retry it.
+    """
     if request.is_first_on_connection:
         return False
     ended_at_seconds = (
--- a/soak/invariants/processes.py
+++ b/soak/invariants/processes.py
@@ -1,4 +1,4 @@
-"""Invariants of the sidecar processes: their life cycle, limits, logs, malformed peers and recovery."""
+"""Invariants of the sidecar processes: life cycle, limits, log, malformed peers and recovery."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 from soak.invariants.violation import Invariant, Violation
 
 MAX_START_SECONDS = 10.0
-"""Seconds in which a process has to become ready, also while sockets are short."""
+"""Seconds within which a process has to become ready, even if it cannot get sockets at first."""
 EXPECTED_EXIT_STATUSES = (0, -signal.SIGKILL)
-"""A process ends in order, or is killed by the soak."""
+"""A process shuts down with status 0, or the soak kills it."""
 DEFECT_LOG_TEXTS = (
     "Traceback",
     "ERROR",
@@ -27,25 +27,25 @@
 )
 """A log line with one of these texts reports a defect of the sidecar."""
 EXPECTED_LOG_TEXTS = ("reload_failed",)
-"""A log line with one of these texts reports an injected fault, not a defect."""
+"""A log line with one of these texts reports the effect of an injected fault, not a defect."""
 MALFORMED_PEER_TIMEOUT_SECONDS = 3.0
-"""Seconds within which a peer that sends no valid request has to get an error or a close."""
+"""Seconds within which a peer that sends no valid request has to get an error response or a close."""
 MALFORMED_PEER_EXEMPTION_SECONDS = 4.0
-"""Seconds from the connection on in which a stop of the process exempts it from responding."""
+"""Seconds after a peer connects in which a stop of the process exempts it from responding to the peer."""
 SUCCESS_STATUS_PREFIX = "HTTP/1.1 2"
-"""The first bytes of a response that serves a request."""
+"""The first bytes of a successful response."""
 RECOVERY_WINDOW_SECONDS = 3.0
-"""Seconds at the end of the soak, without faults, in which each sidecar has to serve again."""
+"""Seconds at the end of the soak, without faults, in which each sidecar has to serve requests again."""
 MIN_RECOVERED_SHARE = 0.5
-"""Share of the requests in that time that has to be served; the rest may be shed."""
+"""Share of the requests in the recovery window that has to be served; the rest may be rejected."""
 MIN_RECOVERY_REQUESTS = 8
-"""Requests; from fewer no share is computed."""
+"""Requests in the recovery window; with fewer, the share that was served is not checked."""
 MAX_REPORTED_REQUESTS = 5
-"""Requests that a violation of the recovery reports as examples."""
+"""Requests that a violation of the recovery invariant reports as examples, at most."""
 
 
 def check_processes(history: History, deployment: Deployment) -> Iterator[Violation]:
-    """No process ends by itself, starts late, exceeds a limit or logs an error."""
+    """No process ends by itself, becomes ready late, exceeds a limit or logs a defect."""
     for incarnation in history.sidecars:
         yield from _check_life_cycle(incarnation)
         yield from _check_limits(incarnation, deployment)
@@ -74,30 +74,30 @@
 def _check_limits(incarnation: SidecarIncarnation, deployment: Deployment) -> Iterator[Violation]:
     at_seconds = incarnation.started_at_seconds
     if incarnation.max_descriptors > deployment.max_descriptors:
-        message = f"{incarnation.max_descriptors} descriptors"
+        message = f"{incarnation.max_descriptors} descriptors were open, more than the limit"
         yield Violation(Invariant.RESOURCE_LIMIT, message, at_seconds, (incarnation,))
     if incarnation.max_memory_megabytes > deployment.memory_megabytes:
-        message = f"{incarnation.max_memory_megabytes:.0f} MB"
+        message = f"{incarnation.max_memory_megabytes:.0f} MB of memory were in use, more than the limit"
         yield Violation(Invariant.RESOURCE_LIMIT, message, at_seconds, (incarnation,))
 
 
 def _check_log(incarnation: SidecarIncarnation) -> Iterator[Violation]:
     at_seconds = incarnation.ended_at_seconds or incarnation.started_at_seconds
     for line in incarnation.log.splitlines():
-        reports_defect = any(alarm in line for alarm in DEFECT_LOG_TEXTS)
-        is_expected = any(error in line for error in EXPECTED_LOG_TEXTS)
+        reports_defect = any(text in line for text in DEFECT_LOG_TEXTS)
+        is_expected = any(text in line for text in EXPECTED_LOG_TEXTS)
         if reports_defect and not is_expected:
             yield Violation(Invariant.LOG, line, at_seconds, (incarnation,))
 
 
 def check_malformed_peers(history: History, _deployment: Deployment) -> Iterator[Violation]:
-    """A peer that sends no valid request gets an error or a close in time, and is never served."""
+    """A peer that sends no valid request gets an error response or a close in time, and is never served."""
     for peer in history.malformed_peers:
         if peer.first_bytes.startswith(SUCCESS_STATUS_PREFIX):
-            message = "was served"
+            message = "was served although it sent no valid request"
             yield Violation(Invariant.MALFORMED_PEER, message, peer.connected_at_seconds, (peer,))
         if not _is_handled_in_time(history, peer):
-            message = "got neither error nor close"
+            message = "got neither an error response nor a close in time"
             yield Violation(Invariant.MALFORMED_PEER, message, peer.connected_at_seconds, (peer,))
 
 
@@ -116,7 +116,7 @@
 
 
 def check_recovery(history: History, _deployment: Deployment) -> Iterator[Violation]:
-    """Once all faults are over, each sidecar serves again."""
+    """Once all faults are over, each sidecar serves requests again."""
     since_seconds = history.ended_at_seconds - RECOVERY_WINDOW_SECONDS
     requests_by_sidecar: dict[str, list[ClientRequest]] = {}
     for request in history.requests.values():
--- a/soak/invariants/registry.py
+++ b/soak/invariants/registry.py
@@ -1,4 +1,4 @@
-"""The registry of the invariants: every check that a history is judged by."""
+"""The registry of all checks of invariants."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
     check_malformed_peers,
     check_recovery,
 )
-"""All checks; a new invariant is added here."""
+"""All checks, which run on each history; the check of a new invariant is added here."""
 
 
 def check_all(history: History, deployment: Deployment) -> list[Violation]:
--- a/soak/invariants/responses.py
+++ b/soak/invariants/responses.py
@@ -13,15 +13,18 @@
 from soak.invariants.violation import Invariant, Violation, request_violation
 
 MIN_MISMATCH_LAG_SECONDS = 0.004
-"""Seconds. A lag of the soak that delays a duplicate response beyond the milliseconds that are allowed."""
+"""Seconds from which on a lag of the soak may delay a duplicate response beyond the allowed time.
+
+An account server may send a duplicate only within a few milliseconds of the response.
+"""
 MISMATCH_LAG_WINDOW_SECONDS = 0.5
 """Seconds before a response in which such a lag may have delayed a duplicate response."""
 REJECTION_STATUSES = (HTTPStatus.TOO_MANY_REQUESTS, HTTPStatus.SERVICE_UNAVAILABLE)
-"""The statuses by which a sidecar rejects a request without having it executed."""
+"""The statuses with which a sidecar rejects a request, with the promise that it was not executed."""
 
 
 def check_final_responses(history: History, _deployment: Deployment) -> Iterator[Violation]:
-    """Each request gets one final response in time, unless its client left or its process was killed."""
+    """Each request gets one final response in time, unless its client disconnected or its process was killed."""
     for request in history.requests.values():
         was_sent = request.sent_at_seconds != 0.0
         if not was_sent or request.disconnected_at_seconds is not None or was_killed(history, request):
@@ -39,10 +42,13 @@
             return None
         lateness_seconds = request.answered_at_seconds - request.deadline_seconds
         return request_violation(
-            Invariant.FINAL_RESPONSE, f"came {lateness_seconds:.2f} s late", request.answered_at_seconds, request
+            Invariant.FINAL_RESPONSE,
+            f"response came {lateness_seconds:.2f} s late",
+            request.answered_at_seconds,
+            request,
         )
     if request.end is None:
-        return request_violation(Invariant.FINAL_RESPONSE, "never came", limit_seconds, request)
+        return request_violation(Invariant.FINAL_RESPONSE, "no response came", limit_seconds, request)
     if request.end == ConnectionEnd.TRUNCATED_RESPONSE or is_keep_alive_race(history, request):
         return None
     ended_at_seconds = request.ended_at_seconds or request.sent_at_seconds
@@ -52,7 +58,7 @@
 
 
 def check_response_origin(history: History, _deployment: Deployment) -> Iterator[Violation]:
-    """A successful response was made by an account server for this very request."""
+    """The body of each successful response was sent by an account server for the same request."""
     bodies_by_request: dict[str, set[str]] = {}
     for attempt in history.attempts:
         bodies_by_request.setdefault(attempt.request_id, set()).add(attempt.body)
@@ -63,14 +69,15 @@
             continue
         at_seconds = request.answered_at_seconds or request.sent_at_seconds
         if not _may_be_late_duplicate_response(history, at_seconds):
-            message = "no server made this response for it"
+            message = "no account server sent this response for the request"
             yield request_violation(Invariant.RESPONSE_ORIGIN, message, at_seconds, request)
 
 
 def _may_be_late_duplicate_response(history: History, at_seconds: float) -> bool:
-    """Return whether a lag of the soak delayed a duplicate response beyond the time that is allowed.
+    """Return whether a lag of the soak may have delayed a duplicate response for longer than is allowed.
 
-    Where one is taken for the response to the next request, that request's response goes to the one after it.
+    A sidecar may take such a duplicate for the response to the next request on the connection. It then takes
+    the actual response to that request for the response to the one after it.
     """
     start_seconds = at_seconds - MISMATCH_LAG_WINDOW_SECONDS
     if history.longest_lag_seconds_within(start_seconds, at_seconds) < MIN_MISMATCH_LAG_SECONDS:
@@ -79,7 +86,10 @@
 
 
 def check_rejections(history: History, deployment: Deployment) -> Iterator[Violation]:
-    """A rejection promises that a retry is harmless: nothing may have executed that must not run twice."""
+    """No request is rejected that may have executed and is not safe to retry at every server.
+
+    A rejection promises that a retry is safe.
+    """
     attempts_by_request = history.attempts_by_request()
     for request in history.requests.values():
         if request.status not in REJECTION_STATUSES or request.answered_at_seconds is None:
@@ -93,5 +103,5 @@
             if attempt.may_have_executed and attempt.received_at_seconds < latest_seconds
         ]
         if executed:
-            message = f"rejected after {len(executed)} attempts may have executed"
+            message = f"rejected after {len(executed)} attempts that may have executed"
             yield request_violation(Invariant.REJECTION, message, request.answered_at_seconds, request)
--- a/soak/invariants/slow_start.py
+++ b/soak/invariants/slow_start.py
@@ -1,4 +1,8 @@
-"""Invariants of the load on account servers: a new one is ramped up slowly, a healthy one is used."""
+"""Invariants of the load on account servers: slow start of new servers, and traffic for healthy ones.
+
+The allowance of a warming server is the number of requests that the settings allow it in an overload window.
+Its budget is the allowance plus slack for the random variation of the number of arrivals.
+"""
 
 from __future__ import annotations
 
@@ -12,19 +16,19 @@
 from soak.invariants.violation import Invariant, Violation
 
 SMALL_ALLOWANCE_REQUESTS = 30
-"""Requests; below it the chance variation of a count is large for its mean and the budget is wider."""
+"""Requests. A smaller allowance gets more slack, as the random variation is large relative to the mean."""
 SMALL_ALLOWANCE_SLACK = 3
-"""Standard deviations, and requests, by which a budget exceeds a small allowance."""
+"""Number of standard deviations, and also of requests, that are added to a small allowance."""
 LARGE_ALLOWANCE_SLACK = 2
-"""Standard deviations, and requests, by which a budget exceeds a large allowance."""
+"""Number of standard deviations, and also of requests, that are added to a large allowance."""
 MIN_TRAFFIC_SHARE = 0.1
-"""Share of the mean request count that each server gets at least once it has been healthy for long."""
+"""Share of the mean request count that a server has to get after it has been healthy for long."""
 SETTLING_MARGIN_SECONDS = 2.5
 """Seconds after the end of a server's warm-up before it has to get its share of the requests."""
 
 
 def check_slow_start(history: History, deployment: Deployment) -> Iterator[Violation]:
-    """All sidecars together keep a server that warms up within its budget, over each overload window."""
+    """All sidecars together keep a warming server within its budget in each overload window."""
     for incarnation in history.servers:
         if incarnation.needs_warm_up:
             yield from _check_warm_up(history, deployment, incarnation)
@@ -63,13 +67,13 @@
 
 
 def slow_start_budget(allowance: float) -> float:
-    """Return how many requests a server that warms up tolerates where the settings allow it so many."""
+    """Return how many requests a warming server with this allowance may get at most."""
     slack = SMALL_ALLOWANCE_SLACK if allowance < SMALL_ALLOWANCE_REQUESTS else LARGE_ALLOWANCE_SLACK
     return allowance + slack * math.sqrt(allowance) + slack
 
 
 def _allowance(deployment: Deployment, age_seconds: float, window_seconds: float) -> float:
-    """Return the requests that the settings allow a server of an age over the window that follows."""
+    """Return how many requests the settings allow a server of this age in the window that follows."""
     share_at_start = deployment.capacity_share(age_seconds)
     share_at_end = deployment.capacity_share(age_seconds + window_seconds)
     mean_share = (share_at_start + share_at_end) / 2
@@ -94,7 +98,7 @@
 
 
 def _request_counts_after_faults(history: History) -> dict[str, int]:
-    """Return the attempts at each server that runs and is up, from the end of the last fault on."""
+    """Return the count of attempts after the last fault, for each server that runs and was always up."""
     counts = {
         incarnation.server: 0
         for incarnation in history.servers
--- a/soak/invariants/tolerances.py
+++ b/soak/invariants/tolerances.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 LATE_RESPONSE_SECONDS = 0.5
-"""Seconds. A response up to this long after its deadline is only worthless; a later one counts as missing."""
+"""Seconds. A response up to this long after its deadline has no value; a later one violates an invariant."""
 SOCKET_SLACK_SECONDS = 0.05
-"""Seconds. Added to every time limit, as bytes take time on sockets of a busy machine."""
+"""Seconds that are added to every time limit, as sockets of a busy machine deliver bytes late."""
 OBSERVATION_ORDER_SECONDS = 0.05
-"""Seconds. Two events on different connections this close together may have been observed in either order."""
+"""Seconds within which two events on different connections may have been observed in either order."""
--- a/soak/invariants/violation.py
+++ b/soak/invariants/violation.py
@@ -1,4 +1,4 @@
-"""The names of the invariants, and what a broken one is reported as."""
+"""The names of the invariants, and the violation that reports a broken one."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Invariant(StrEnum):
-    """What must hold of every history; the values are the names in the report."""
+    """The invariants that must hold in every history; the values are their names in the report."""
 
     FINAL_RESPONSE = "final response"
     RESPONSE_ORIGIN = "response origin"
@@ -43,7 +43,7 @@
 
 
 Check = Callable[[History, Deployment], Iterator[Violation]]
-"""Yields the violations of a history; a check is pure."""
+"""Yields the violations of a history, without side effects. Its doc comment states the invariant."""
 
 
 def request_violation(
--- a/tests/soak/invariants/test_attempts.py
+++ b/tests/soak/invariants/test_attempts.py
@@ -29,8 +29,8 @@
     ],
 )
 def test_retry(request_class: str, first: dict[str, Any], second: dict[str, Any], is_broken: bool) -> None:
-    given = history(request(request_class), attempt(**first), attempt(**second))
-    violations = list(check_retries(given, deployment(deduplication_scope=DeduplicationScope.ZONE)))
+    recorded_history = history(request(request_class), attempt(**first), attempt(**second))
+    violations = list(check_retries(recorded_history, deployment(deduplication_scope=DeduplicationScope.ZONE)))
     assert bool(violations) == is_broken
 
 
@@ -43,11 +43,11 @@
 @pytest.mark.parametrize(("after_seconds", "is_broken"), [(0.15, False), (0.4, True)])
 def test_attempt_for_disconnected_client(after_seconds: float, is_broken: bool) -> None:
     disconnected = unanswered(disconnected_at_seconds=SENT_AT_SECONDS + 0.1)
-    given = history(disconnected, attempt(after_seconds=after_seconds))
-    assert bool(list(check_disconnected_clients(given, deployment()))) == is_broken
+    recorded_history = history(disconnected, attempt(after_seconds=after_seconds))
+    assert bool(list(check_disconnected_clients(recorded_history, deployment()))) == is_broken
 
 
 @pytest.mark.parametrize(("announced_seconds", "is_broken"), [(0.8, False), (0.95, False), (1.1, True)])
 def test_deadline_propagation(announced_seconds: float, is_broken: bool) -> None:
-    given = history(request(), attempt(after_seconds=0.2, propagated_timeout_seconds=announced_seconds))
-    assert bool(list(check_deadline_propagation(given, deployment()))) == is_broken
+    recorded_history = history(request(), attempt(after_seconds=0.2, propagated_timeout_seconds=announced_seconds))
+    assert bool(list(check_deadline_propagation(recorded_history, deployment()))) == is_broken
--- a/tests/soak/invariants/test_endpoint_list.py
+++ b/tests/soak/invariants/test_endpoint_list.py
@@ -29,5 +29,5 @@
         for health, before_seconds in notifications
     ]
     of_other_sidecar = EndpointNotification("n1", "s0", DRAINING, 1.0)
-    given = history(request(), attempt(), *events, of_other_sidecar)
-    assert bool(list(check_drains(given, deployment()))) == is_broken
+    recorded_history = history(request(), attempt(), *events, of_other_sidecar)
+    assert bool(list(check_drains(recorded_history, deployment()))) == is_broken
--- a/tests/soak/invariants/test_evidence.py
+++ b/tests/soak/invariants/test_evidence.py
@@ -8,7 +8,7 @@
 
 
 def test_evidence_of_a_violation_has_its_attempts_and_processes() -> None:
-    given = history(unanswered(), attempt(), attempt(request_id="n0-2"), sidecar_incarnation())
-    [violation] = check_final_responses(given, deployment())
-    events = relevant_events(given, violation)
-    assert events == [given.requests["n0-1"], given.attempts[0], given.sidecars[0]]
+    recorded_history = history(unanswered(), attempt(), attempt(request_id="n0-2"), sidecar_incarnation())
+    [violation] = check_final_responses(recorded_history, deployment())
+    events = relevant_events(recorded_history, violation)
+    assert events == [recorded_history.requests["n0-1"], recorded_history.attempts[0], recorded_history.sidecars[0]]
--- a/tests/soak/invariants/test_processes.py
+++ b/tests/soak/invariants/test_processes.py
@@ -29,8 +29,8 @@
     ],
 )
 def test_process(changes: dict[str, Any], is_broken: bool) -> None:
-    given = history(sidecar_incarnation(**changes))
-    assert bool(list(check_processes(given, deployment()))) == is_broken
+    recorded_history = history(sidecar_incarnation(**changes))
+    assert bool(list(check_processes(recorded_history, deployment()))) == is_broken
 
 
 @pytest.mark.parametrize(
@@ -43,8 +43,8 @@
     ],
 )
 def test_malformed_peer(fields: dict[str, Any], is_broken: bool) -> None:
-    given = History(malformed_peers=[MalformedPeer("n0", "sends nothing", SENT_AT_SECONDS, **fields)])
-    assert bool(list(check_malformed_peers(given, deployment()))) == is_broken
+    recorded_history = History(malformed_peers=[MalformedPeer("n0", "sends nothing", SENT_AT_SECONDS, **fields)])
+    assert bool(list(check_malformed_peers(recorded_history, deployment()))) == is_broken
 
 
 @pytest.mark.parametrize(
@@ -54,5 +54,5 @@
     requests = [
         request(request_id=f"n0-{index}", sent_at_seconds=108.0, status=status) for index in range(count)
     ]
-    given = history(sidecar_incarnation(), *requests)
-    assert bool(list(check_recovery(given, deployment()))) == is_broken
+    recorded_history = history(sidecar_incarnation(), *requests)
+    assert bool(list(check_recovery(recorded_history, deployment()))) == is_broken
--- a/tests/soak/invariants/test_slow_start.py
+++ b/tests/soak/invariants/test_slow_start.py
@@ -21,8 +21,8 @@
     """In its first 2 s it has 0.1 to 0.28 of 100 requests a second: 38, and the slack makes 52."""
     incarnation = ServerIncarnation("s9", "zone-a", 0, SENT_AT_SECONDS, needs_warm_up=needs_warm_up)
     attempts = [attempt(after_seconds=2.0 * index / count, server="s9") for index in range(count)]
-    given = history(incarnation, *attempts)
-    assert bool(list(check_slow_start(given, deployment()))) == is_broken
+    recorded_history = history(incarnation, *attempts)
+    assert bool(list(check_slow_start(recorded_history, deployment()))) == is_broken
 
 
 @pytest.mark.parametrize(("started_at_seconds", "is_broken"), [(50.0, True), (95.0, False)])
@@ -34,5 +34,5 @@
         attempt(server=f"s{index % 3}", received_at_seconds=100.0 + index / 10, started_at_seconds=100.0)
         for index in range(90)
     ]
-    given = history(starved, *attempts)
-    assert bool(list(check_traffic_share(given, deployment()))) == is_broken
+    recorded_history = history(starved, *attempts)
+    assert bool(list(check_traffic_share(recorded_history, deployment()))) == is_broken
