--- a/soak/__init__.py
+++ b/soak/__init__.py
@@ -1,5 +1,5 @@
-"""A randomized fault soak: real sidecar processes on loopback under overlapping faults, judged by invariants.
+"""A soak test with fault injection: real sidecar processes on loopback, under overlapping random faults.
 
-Run it with `python -m soak --seed N --seconds S --json FILE`. `python -m soak.mutation_testing` shows that it
-notices defects.
+The recorded history is checked against invariants. Run it with `python -m soak --seed N --seconds S --json
+FILE`. `python -m soak.mutation_testing` tests whether the soak notices defects of the sidecar.
 """
--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -16,14 +16,15 @@
 from soak.runner import MAX_SECONDS, MIN_SECONDS, run_soak
 
 DEFAULT_SEED = 1
-"""Any number would do; a fixed one lets two runs without arguments be compared."""
+"""A fixed seed, so that two runs without arguments can be compared."""
 DEFAULT_SECONDS = 32.0
-"""Seconds; about 15 of them with faults."""
+"""Seconds of a soak, about 15 of them with faults."""
 DESCRIPTION = """\
 Run 10 to 18 sidecar processes on loopback, between clients and account servers, under overlapping faults that
 are drawn from a seed: signals, failing system calls, a faulty network, misbehaving account servers, clients
-and discovery. The recorded history is judged by invariants. It runs in real time: the same seed gives the
-same plan, not the same history. It needs a C compiler, for the library that makes system calls fail.
+and discovery. The recorded history is checked against invariants. The soak runs in real time: the same seed
+gives the same plan, but not the same history. It needs a C compiler, for the library that makes system calls
+fail.
 """
 EPILOG = """\
 Exit status: 0 if no invariant was broken, 1 if one was, 2 if the arguments are wrong or the soak could not
--- a/soak/command_line.py
+++ b/soak/command_line.py
@@ -1,4 +1,4 @@
-"""What the command lines of this package share: one plain line and status 2 for bad input."""
+"""The parsing of arguments that the command lines of this package share, and their exit statuses."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class ExitStatus(IntEnum):
-    """The exit statuses."""
+    """The exit statuses of the command lines."""
 
     OK = 0
     FINDING = 1
@@ -20,16 +20,16 @@
 
 
 class OneLineErrorArgumentParser(argparse.ArgumentParser):
-    """An argument parser that reports an error as one line, without the usage."""
+    """An argument parser that reports an error in one line, without the usage, and exits with status 2."""
 
     def error(self, message: str) -> NoReturn:
-        """Print the error and exit."""
+        """Print the error and exit with status 2."""
         print(f"{self.prog}: {message}; --help lists the arguments", file=sys.stderr)
         sys.exit(ExitStatus.ERROR)
 
 
 def seconds_between(low: float, high: float) -> Callable[[str], float]:
-    """Return a parser of an argument that is a number of seconds in a range."""
+    """Return a function that parses a number of seconds in a range; the bounds are included."""
 
     def parse(text: str) -> float:
         try:
--- a/soak/deployment.py
+++ b/soak/deployment.py
@@ -1,4 +1,4 @@
-"""The deployment that a soak runs: request classes, rules and sizes, some of them drawn from the seed."""
+"""The deployment that a soak runs: request classes, sizes and limits, some of them drawn from the seed."""
 
 from __future__ import annotations
 
@@ -7,44 +7,45 @@
 from random import Random
 
 ZONES = ("zone-a", "zone-b")
-"""Two, so that some traffic crosses zones."""
+"""The zones; there are two, so that some traffic crosses zones."""
 CELLS_PER_ZONE = 2
-"""Two, so that deduplication by zone and by cell differ."""
+"""Cells; there are two in each zone, so that deduplication by zone and by cell differ."""
 TENANTS = ("tenant-a", "tenant-b")
-"""The tenants of the requests, drawn with equal chances."""
+"""The tenants of the requests, drawn with equal probability."""
 
 MIN_SIDECARS = 10
-"""Processes; from here on the quota of one is small enough for their choices to collide."""
+"""Processes; from this number on the quota of each is small enough for their choices to collide."""
 MAX_SIDECARS = 18
-"""Processes; more keep a machine of a few cores from meeting the time limits."""
+"""Processes; with more of them, a machine with a few cores does not meet the time limits."""
 SERVER_COUNT = 8
 """Account servers: two in each cell of each zone."""
 FLEET_REQUESTS_PER_SECOND = 190
-"""Requests a second of all clients together: 60 % of what the servers can do, so that losing some matters."""
+"""Requests per second of all clients: 60 % of the capacity of all servers, so that losing some matters."""
 SERVER_REQUESTS_PER_SECOND = 40.0
-"""Requests a second that one server can process once it has warmed up."""
+"""Requests per second that one server can process once it has warmed up."""
 POLLED_DISCOVERY_PROBABILITY = 0.25
 """Probability that sidecars poll for the endpoint list instead of watching it."""
 DRAIN_GRACE_CHOICES_SECONDS = (0.5, 1.0)
 """Seconds for which requests may still go to a draining server."""
 LATE_RESPONSE_VALUES = (0.0, 0.3)
-"""Value of a response after the latency objective, as a share of that of one in time."""
+"""Value of a response after the latency objective, as a share of the value of one in time."""
 INITIAL_CAPACITY_SHARE = 0.05
 """Share of its capacity that a server starts with."""
 WARM_UP_SECONDS = 9.0
 """Seconds that a server takes to reach its full capacity."""
 OVERLOAD_MULTIPLE = 0.9
-"""Multiple of its capacity under which a server that warms up falls over.
+"""Multiple of its capacity at which a warming server fails under overload.
 
-Tighter than at any site, where it is 3: idle servers are preferred and one that warms up is slow, so even
-without slow start it gets less than others. Its budget has to distinguish the two.
+It is lower than at any site, where it is 3. Sidecars prefer idle servers and a warming server is slow, so
+even without slow start it gets fewer requests than the others. Its budget has to be small enough to
+distinguish sidecars with slow start from sidecars without it.
 """
 OVERLOAD_WINDOW_SECONDS = 3.0
-"""Seconds for which a server that warms up has to be overloaded before it falls over."""
+"""Seconds for which a warming server has to be overloaded before it fails."""
 
 
 class Idempotency(StrEnum):
-    """What a second execution of a request would do; the values are those of the settings."""
+    """Whether a request may be executed a second time; the values are those of the settings."""
 
     IDEMPOTENT = "retryable"
     IDEMPOTENCY_KEY = "dedup"
@@ -52,7 +53,10 @@
 
 
 class DeduplicationScope(StrEnum):
-    """Which account servers drop the repeats of a request with an idempotency key."""
+    """Which account servers drop duplicates of a request with an idempotency key.
+
+    The values are those of the settings.
+    """
 
     ALL = "all"
     ZONE = "zone"
@@ -61,24 +65,25 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """A class of requests."""
+    """A class of requests with the same idempotency, latency objective and longest timeout."""
 
     name: str
     idempotency: Idempotency
     latency_objective_seconds: float
     """The latency objective."""
     timeout_seconds: float
-    """The longest time that a client waits."""
+    """The longest time that a client waits for a response."""
     share: float
-    """Share of all requests."""
+    """Share of all requests that are of this class."""
     late_response_value: float = 0.3
-    """Value of a response after the objective; where it is 0 an attempt is cancelled then."""
+    """Value of a response after the latency objective; if it is 0, an attempt is cancelled at that time."""
     deduplication_scope: DeduplicationScope = DeduplicationScope.ALL
     deduplication_window_seconds: float = 5.0
+    """How long account servers remember an idempotency key."""
 
     @property
     def is_always_safe_to_retry(self) -> bool:
-        """Whether a retry is harmless at whatever server it arrives."""
+        """Whether a retry is safe at every account server."""
         if self.idempotency == Idempotency.IDEMPOTENCY_KEY:
             return self.deduplication_scope == DeduplicationScope.ALL
         return self.idempotency == Idempotency.IDEMPOTENT
@@ -92,20 +97,26 @@
     sidecar_count: int
     server_count: int
     requests_per_second: float
-    """Requests a second of the clients of one sidecar."""
+    """Requests per second of the clients of one sidecar."""
     is_discovery_polled: bool
+    """Whether sidecars poll for the endpoint list instead of watching it."""
     drain_grace_seconds: float
+    """How long requests may still go to a draining server."""
     initial_capacity_share: float
     """Share of its full capacity that a server has when it starts."""
     warm_up_seconds: float
+    """How long a server takes to reach its full capacity."""
     overload_multiple: float
     overload_window_seconds: float
-    """A server that warms up and gets this many times its capacity for this long falls over."""
+    """A warming server fails when it gets `overload_multiple` times its capacity for this long."""
     server_requests_per_second: float
-    """The full capacity of one server."""
+    """The full capacity of one server, in requests per second."""
     max_attempts: int = 4
+    """Attempts of one request, at most."""
     max_descriptors: int = 384
+    """Open descriptors of one sidecar process, at most."""
     memory_megabytes: int = 96
+    """Memory of one sidecar process, at most."""
 
     @property
     def longest_timeout_seconds(self) -> float:
@@ -123,7 +134,7 @@
 
 
 def draw_deployment(random: Random) -> Deployment:
-    """Draw a deployment: what differs between sites differs between seeds."""
+    """Draw a deployment; what differs between sites differs between seeds."""
     sidecar_count = random.randint(MIN_SIDECARS, MAX_SIDECARS)
     request_classes = _draw_request_classes(random)
     return Deployment(
@@ -142,7 +153,7 @@
 
 
 def _draw_request_classes(random: Random) -> tuple[RequestClass, ...]:
-    """Draw one request class for each kind of idempotency; the order of the draws is part of a seed."""
+    """Draw a request class for each kind of idempotency; the order of the draws decides what a seed gives."""
     read = RequestClass(
         name="read",
         idempotency=Idempotency.IDEMPOTENT,
--- a/soak/errors.py
+++ b/soak/errors.py
@@ -4,14 +4,14 @@
 
 
 class SoakError(Exception):
-    """The soak itself cannot go on; this says nothing of the sidecars."""
+    """The soak itself cannot run; the error says nothing about the sidecars under test."""
 
 
 class FaultLibraryError(SoakError):
     """The library that makes system calls fail could not be built.
 
     Attributes:
-        reason: what the compiler said.
+        reason: the error output of the compiler, or why it did not run.
     """
 
     def __init__(self, reason: str) -> None:
@@ -32,17 +32,18 @@
 
 
 class MutationError(SoakError):
-    """A mutant cannot be applied, because the text that it replaces is not in its file exactly once.
+    """A mutant cannot be applied, as the text that it replaces does not occur exactly once in its file.
 
     Attributes:
         mutant: the name of the mutant.
         path: the file, relative to the root of the repository.
-        occurrences: how often the text is there.
+        occurrences: how often the text occurs in the file.
     """
 
     def __init__(self, mutant: str, path: str, occurrences: int) -> None:
         super().__init__(
-            f"mutant {mutant!r}: its text is {occurrences} times in {path}, not once; see soak/mutants.py"
+            f"mutant {mutant!r}: its text occurs {occurrences} times in {path}, not once as expected; "
+            "see soak/mutants.py"
         )
         self.mutant = mutant
         self.path = path
--- a/soak/fault_injection/process_faults.py
+++ b/soak/fault_injection/process_faults.py
@@ -89,7 +89,7 @@
         await sidecar.wait_until_ready(READY_TIMEOUT_SECONDS)
 
     async def _reload(self, fault: PlannedFault) -> str:
-        """Reload a configuration with a new address of discovery; a strong fault sends several signals at once."""
+        """Reload a configuration with a new address of discovery; a strong fault sends several signals."""
         sidecar = choose_member(self._fleet, fault).sidecar
         if not sidecar.is_serving or sidecar.agent.is_down:
             return f"{sidecar.name}, which did not serve or had no discovery"
@@ -123,7 +123,7 @@
         return sidecar.name
 
     async def _step_wall_clock(self, fault: PlannedFault) -> str:
-        """Step the wall clock of all sidecars, and the one that gives the start times in the endpoint list."""
+        """Step the wall clock of all sidecars, and the one for start times in the endpoint list."""
         step_seconds = wall_clock_step_seconds(fault.strength)
         clock = self._fleet.clock
         clock.wall_clock_offset_ns += int(step_seconds * NANOSECONDS_PER_SECOND)
--- a/soak/fault_plan.py
+++ b/soak/fault_plan.py
@@ -85,7 +85,7 @@
 
 
 def _draw_cluster(random: Random, start_seconds: float, last_start_seconds: float) -> list[PlannedFault]:
-    """Draw faults that start close together; a change of the order of the draws changes the plan of a seed."""
+    """Draw faults that start close together; the order of the draws decides which plan a seed gives."""
     cluster_choice = random.random()
     faults = []
     for _ in range(random.randint(MIN_FAULTS_PER_CLUSTER, MAX_FAULTS_PER_CLUSTER)):
--- a/soak/fleet.py
+++ b/soak/fleet.py
@@ -161,7 +161,7 @@
                     self._record_state(member.sidecar)
 
     def _record_state(self, sidecar: SidecarProcess) -> None:
-        """Record the resource usage of a sidecar, and the changes of the endpoint list that it has to know by now."""
+        """Record the resources that a sidecar uses, and the endpoint list changes that it has to know."""
         sidecar.record_resource_usage()
         sidecar.agent.record_overdue()
 
--- a/soak/invariants/responses.py
+++ b/soak/invariants/responses.py
@@ -24,7 +24,7 @@
 
 
 def check_final_responses(history: History, _deployment: Deployment) -> Iterator[Violation]:
-    """Each request gets one final response in time, unless its client disconnected or its process was killed."""
+    """Each request gets a final response in time, unless its client disconnects or its process is killed."""
     for request in history.requests.values():
         was_sent = request.sent_at_seconds != 0.0
         if not was_sent or request.disconnected_at_seconds is not None or was_killed(history, request):
--- a/soak/mutants.py
+++ b/soak/mutants.py
@@ -1,8 +1,8 @@
 """The mutants: defects that the soak has to notice, as replacements of source text.
 
-Each entry names the property that the mutant breaks, the file, the original text and what replaces it. The
-original text has to be in its file exactly once; a test checks that, so a change of the source shows which
-entries it affects. Where a property is guarded in two places, there is an entry for each and one for both.
+Each entry names the property that the mutant breaks, the file, the original text and the text that replaces
+it. The original text has to occur exactly once in its file; a test checks that, so a change of the source
+shows which entries it affects. If two places ensure a property, there is an entry for each and one for both.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
     path: str
     """The file, relative to the root of the repository."""
     original: str
-    """The text that is replaced; it is in the file exactly once."""
+    """The text that is replaced; it occurs exactly once in the file."""
     mutated: str
     """The text that replaces it."""
 
@@ -27,7 +27,7 @@
     """The replacements that break one property of the sidecar."""
 
     name: str
-    """The property that is broken."""
+    """The property of the sidecar that the mutant breaks."""
     replacements: tuple[Replacement, ...]
 
 
@@ -49,7 +49,7 @@
 
 MUTANTS = (
     _mutant(
-        "the time of a request counts from its arrival",
+        "the timeout of a request counts from its arrival",
         "balancer/sidecar/downstream/connection.py",
         "waited_seconds = self._manager.now_seconds() - request.arrived_at_seconds",
         "waited_seconds = 0.0",
@@ -64,7 +64,7 @@
     Mutant("no attempt starts for a disconnected client: disconnect event", (_DISCONNECT_EVENT,)),
     Mutant("no attempt starts for a disconnected client: both", (_CHECK_BEFORE_SENDING, _DISCONNECT_EVENT)),
     _mutant(
-        "an attempt that is not completely sent is cancelled with its client",
+        "an attempt that is not completely sent is cancelled when its client disconnects",
         "balancer/sidecar/requests/client_disconnects.py",
         "            request.attempt.end_unless_sent()",
         "            pass",
@@ -76,7 +76,7 @@
         "is_safe = True",
     ),
     _mutant(
-        "a rejection promises that nothing has executed",
+        "a request that may have executed is not rejected",
         "balancer/policy/requests/retry.py",
         "        if not request.may_run_again:\n            return api.FailRequest(request.id)\n",
         "",
@@ -100,13 +100,13 @@
         "ready = list(endpoints)",
     ),
     _mutant(
-        "endpoints that warm up get fewer requests",
+        "warming endpoints get fewer requests",
         "balancer/policy/selection/slow_start.py",
         "    if not endpoint.started_at_ns or age_ns >= duration_ns:",
         "    if age_ns >= 0:",
     ),
     _mutant(
-        "start times follow steps of the wall clock",
+        "start times of endpoints are corrected after a step of the wall clock",
         "balancer/sidecar/discovery/start_times.py",
         "if all(abs(offset_ns - known_offset_ns) >= MIN_STEP_NS for known_offset_ns in self._offsets_ns):",
         "if not self._offsets_ns:",
@@ -124,13 +124,13 @@
         "",
     ),
     _mutant(
-        "a shortage of sockets at the start is waited out",
+        "a process waits at its start until it can get sockets",
         "balancer/__main__.py",
         "if not is_shortage or time.monotonic() >= start_deadline_seconds:",
         "if True:",
     ),
     _mutant(
-        "an unreadable configuration is read again",
+        "the reading of an unreadable configuration is retried",
         "balancer/sidecar/process/configuration_reloader.py",
         "            if self._attempts_left:\n",
         "            if False:\n",
@@ -148,7 +148,7 @@
         "pass",
     ),
     _mutant(
-        "a shutdown waits for the clients",
+        "a shutdown waits for clients to close their connections",
         "balancer/sidecar/process/graceful_shutdown.py",
         "            await asyncio.wait_for(self._listener.wait_until_closed(), seconds_left)",
         "            await asyncio.sleep(min(0.1, seconds_left))",
--- a/soak/mutation_testing.py
+++ b/soak/mutation_testing.py
@@ -1,7 +1,7 @@
 """Mutation testing of the soak: `python -m soak.mutation_testing`.
 
-Each mutant is applied alone to a scratch copy of the repository, and the soak is run on it with one seed
-after the other until an invariant is broken: then the mutant is killed. A mutant that no seed kills has
+Each mutant is applied alone to a scratch copy of the repository, and the soak is run on the copy with one
+seed after the other until an invariant is broken: the mutant has been killed. A mutant that no seed kills has
 survived.
 """
 
@@ -25,22 +25,22 @@
 
 REPOSITORY_ROOT = Path(__file__).parent.parent
 COPIED_FOLDERS = ("balancer", "soak")
-"""What a soak needs of the repository."""
+"""The folders of the repository that a soak needs."""
 SOAK_TIMEOUT_SECONDS = 240
-"""Seconds after which a soak counts as hanging; it includes the start and the end of its processes."""
+"""Seconds after which a soak counts as hanging, including the start and the end of its processes."""
 MAX_SECONDS = 180.0
-"""Seconds of the longest soak: it has to end well before it counts as hanging."""
+"""Seconds of the longest soak; it has to end well before it counts as hanging."""
 DEFAULT_SECONDS = 32.0
-"""Seconds; as of a soak by default."""
+"""Seconds of each soak; the same as the default of the soak's own command line."""
 DEFAULT_SEEDS = (1, 2, 3, 4)
-"""Several, as a run takes place in real time and a defect does not show in each."""
+"""Several seeds, because a soak runs in real time and a defect does not show in each run."""
 MAX_MESSAGE_CHARACTERS = 150
-"""Characters of a violation that a result line shows."""
+"""Characters of the first violation that a result line shows, at most."""
 MAX_ERROR_CHARACTERS = 200
-"""Characters of what a soak that could not run has written."""
+"""Characters that are kept of the standard error of a soak that could not run, at most."""
 DESCRIPTION = """\
 Apply one mutant at a time to a scratch copy of the repository and run the soak on it, one seed after the
-other, until an invariant is broken. A mutant takes one guard of the sidecar away; the soak should notice it.
+other, until an invariant is broken. A mutant removes one safeguard of the sidecar; the soak should notice it.
 """
 EPILOG = """\
 Exit status: 0 if every mutant was killed, 1 if one survived, 2 if the arguments are wrong or a mutant cannot
@@ -50,19 +50,19 @@
 
 @dataclass(frozen=True, slots=True)
 class MutantResult:
-    """What the soak said of a mutant."""
+    """The result of running the soak on a mutant."""
 
     mutant: str
     seed: int
     """The seed that killed it, or the last one."""
     violation_counts: dict[str, int]
-    """How often each invariant was broken."""
+    """How often each invariant was broken, or else the exit status of a soak that could not run."""
     first_message: str
-    """The first violation."""
+    """The message of the first violation, or the end of the standard error."""
 
     @property
     def is_killed(self) -> bool:
-        """Whether the soak noticed the mutant."""
+        """Whether an invariant was broken, or the soak could not run."""
         return bool(self.violation_counts)
 
     def to_text(self) -> str:
@@ -92,7 +92,7 @@
     """Run the soak on a scratch copy with a mutant until a seed kills it.
 
     Raises:
-        SoakError: the mutant cannot be applied, or a soak hangs.
+        SoakError: the mutant cannot be applied, or a soak does not end in time.
     """
     with tempfile.TemporaryDirectory(prefix="balancer-mutant-") as temporary:
         root = Path(temporary)
@@ -125,7 +125,7 @@
             check=False,
         )
     except subprocess.TimeoutExpired as error:
-        raise SoakError(f"mutant {mutant.name!r}, seed {seed}: the soak hangs") from error
+        raise SoakError(f"mutant {mutant.name!r}, seed {seed}: the soak did not end in time") from error
     if process.returncode == ExitStatus.OK:
         return MutantResult(mutant.name, seed, {}, "")
     if process.returncode == ExitStatus.FINDING:
@@ -136,7 +136,7 @@
 
 
 def _select_mutants(words: Sequence[str]) -> list[Mutant]:
-    """Return the mutants whose name has one of the words; all without words."""
+    """Return the mutants whose name contains one of the words, or all if there are no words."""
     return [mutant for mutant in MUTANTS if not words or any(word in mutant.name for word in words)]
 
 
@@ -153,7 +153,7 @@
         prog="python -m soak.mutation_testing", description=DESCRIPTION, epilog=EPILOG
     )
     parser.add_argument(
-        "words", nargs="*", metavar="WORD", help="only mutants whose name has one of these words"
+        "words", nargs="*", metavar="WORD", help="only mutants whose name contains one of these words"
     )
     parser.add_argument("--list", action="store_true", help="list the mutants and exit")
     parser.add_argument(
@@ -171,12 +171,15 @@
         help=f"length of each soak, from {MIN_SECONDS:g} to {MAX_SECONDS:g} (default: %(default)g)",
     )
     parser.add_argument(
-        "--jobs", type=positive_integer, default=1, help="soaks at the same time (default: %(default)s)"
+        "--jobs",
+        type=positive_integer,
+        default=1,
+        help="number of soaks that run at the same time (default: %(default)s)",
     )
     options = parser.parse_args(arguments)
     options.mutants = _select_mutants(options.words)
     if not options.mutants:
-        parser.error(f"no mutant's name has one of the words {', '.join(options.words)}")
+        parser.error(f"no mutant's name contains one of the words {', '.join(options.words)}")
     return options
 
 
--- a/soak/report.py
+++ b/soak/report.py
@@ -1,4 +1,4 @@
-"""What a soak reports: the violations with their history, and figures of the entire run."""
+"""The report of a soak: the violations with the events that explain them, and counts of the entire run."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 from soak.invariants.violation import Violation
 
 MAX_REPORTED_VIOLATIONS = 20
-"""Violations that are reported one by one; more of a run have the same causes."""
+"""Violations that are reported one by one, at most; further ones of a run have the same causes."""
 MAX_TEXT_CHARACTERS = 300
-"""Characters of a text in the report: bodies and logs are cut."""
+"""Characters of a text in the report; longer bodies and logs are truncated."""
 NO_STATUS = 0
-"""The status of a request without a response."""
+"""The status that the history has for a request without a response."""
 
 Figures = dict[str, int | float]
 """Counts and sums by their names."""
@@ -31,12 +31,14 @@
     seed: int
     seconds: float
     description: str
+    """The deployment and the number of faults, in one line."""
     history: History
     violations: list[Violation]
     injected_call_faults: int
+    """How many system calls failed, were shortened or were interrupted by the soak."""
 
     def figures(self) -> Figures:
-        """Return counts of the entire run."""
+        """Return counts of the entire run, by their names in the report."""
         history = self.history
         requests = history.requests.values()
         lag_seconds = sum(lag.seconds for lag in history.lags)
@@ -59,7 +61,7 @@
         return dict(Counter(violation.invariant.value for violation in self.violations))
 
     def to_json(self) -> dict[str, Any]:
-        """Return the complete report; the history of each violation is the part that shows it."""
+        """Return the complete report; the history of each violation has the events that explain it."""
         return {
             "seed": self.seed,
             "seconds": self.seconds,
@@ -79,7 +81,7 @@
         }
 
     def to_text(self) -> str:
-        """Return the report for a reader."""
+        """Return the report as text; it has the history of the first violation only."""
         lines = [
             f"seed {self.seed}, {self.seconds:g} s: {self.description}",
             ", ".join(f"{name} {value}" for name, value in self.figures().items()),
@@ -92,7 +94,7 @@
             f"- {violation.at_seconds:.2f} s, {violation.invariant.value}: {violation.message}"
             for violation in self.violations[:MAX_REPORTED_VIOLATIONS]
         ]
-        lines.append("history of the first:")
+        lines.append("history of the first violation:")
         lines += [f"    {event}" for event in self._evidence(self.violations[0])]
         return "\n".join(lines)
 
--- a/soak/runner.py
+++ b/soak/runner.py
@@ -28,15 +28,15 @@
 from soak.sidecar.syscall_faults import build_fault_library
 
 MIN_FAULT_PHASE_SECONDS = 2.0
-"""Seconds in which faults start in the shortest soak."""
+"""Seconds of the shortest soak in which faults start."""
 MIN_SECONDS = FAULT_FREE_START_SECONDS + MAX_FAULT_SECONDS + FAULT_FREE_END_SECONDS + MIN_FAULT_PHASE_SECONDS
 """Seconds of the shortest soak."""
 MAX_SECONDS = 3600.0
-"""Seconds of the longest soak; its history is kept in memory."""
+"""Seconds of the longest soak; its length is limited as the history is kept in memory."""
 
 
 async def run_soak(seed: int, seconds: float, keep: Path | None = None) -> SoakReport:
-    """Run a soak and judge its history.
+    """Run a soak and check its history against the invariants.
 
     Args:
         seed: what the deployment, the load and the faults are drawn from.
@@ -44,7 +44,7 @@
         keep: where to keep configurations and logs; by default they are deleted.
 
     Raises:
-        SoakError: the soak itself cannot go on.
+        SoakError: the soak itself cannot run.
     """
     random = Random(seed)
     deployment = draw_deployment(random)
@@ -84,13 +84,13 @@
 
 
 def _shifted(fault: PlannedFault, seconds: float) -> PlannedFault:
-    """Return the fault as planned for a load that starts at this time."""
+    """Return the fault with its start moved by the time at which the load starts."""
     return replace(fault, starts_at_seconds=fault.starts_at_seconds + seconds)
 
 
 @contextlib.contextmanager
 def _working_directory(keep: Path | None) -> Iterator[Path]:
-    """Provide the directory to keep, or a temporary one."""
+    """Provide the directory that is kept, or a temporary one that is deleted."""
     if keep is not None:
         keep.mkdir(parents=True, exist_ok=True)
         yield keep
--- a/tests/soak/__init__.py
+++ b/tests/soak/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the fault soak: its oracle on made-up histories, its plan and its command line."""
+"""Tests of the soak: its invariants on constructed histories, its fault plan and its command lines."""
--- a/tests/soak/histories.py
+++ b/tests/soak/histories.py
@@ -21,7 +21,7 @@
 
 
 def deployment(**change_fields: Any) -> Deployment:
-    """Return a deployment; the arguments change its request class with an idempotency key."""
+    """Return a deployment; the arguments set fields of its class `change`, which has an idempotency key."""
     drawn = draw_deployment(Random(7))
     request_classes = (
         RequestClass("read", Idempotency.IDEMPOTENT, 0.3, TIMEOUT_SECONDS, 0.4),
@@ -73,7 +73,7 @@
 
 
 def attempt(after_seconds: float = 0.01, server: str = "s0", **fields: Any) -> Attempt:
-    """Return an attempt that arrived some time after its request was sent, and got a response."""
+    """Return an attempt that arrived this long after its request was sent, and got a response."""
     defaults: dict[str, Any] = {
         "request_id": "n0-1",
         "server": server,
@@ -89,7 +89,7 @@
 
 
 def history(*events: Any) -> History:
-    """Return a history of these events, with three servers; its faults ended at 100 s, the soak at 110 s."""
+    """Return a history of these events with three servers; its faults end at 100 s, and the soak at 110 s."""
     result = History(faults_ended_at_seconds=100.0, ended_at_seconds=110.0)
     for index, (zone, cell) in enumerate((("zone-a", 0), ("zone-a", 2), ("zone-b", 1))):
         result.servers.append(ServerIncarnation(f"s{index}", zone, cell, 0.0, needs_warm_up=False))
@@ -109,7 +109,7 @@
 
 
 def sidecar_incarnation(**fields: Any) -> SidecarIncarnation:
-    """Return a process that was started, became ready, was stopped and ended in order."""
+    """Return a process that was started, became ready, was asked to stop and exited with status 0."""
     defaults: dict[str, Any] = {
         "sidecar": "n0",
         "process_id": 7,
--- a/tests/soak/invariants/__init__.py
+++ b/tests/soak/invariants/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the invariants: each check finds what it is for, and nothing else."""
+"""Tests of the invariants: each check reports the histories that break its invariant, and no others."""
--- a/tests/soak/invariants/test_attempts.py
+++ b/tests/soak/invariants/test_attempts.py
@@ -1,4 +1,4 @@
-"""Tests of the invariants of attempts."""
+"""Tests of the invariants of the attempts that reach account servers."""
 
 from __future__ import annotations
 
@@ -19,10 +19,13 @@
 @pytest.mark.parametrize(
     ("request_class", "first", "second", "is_broken"),
     [
+        # An idempotent request may be retried at any server, but not while the first attempt is in flight.
         ("read", {}, {"after_seconds": 0.2, "server": "s2"}, False),
         ("read", {"ended_at_seconds": SENT_AT_SECONDS + 0.9}, {"after_seconds": 0.2}, True),
+        # A request that is not idempotent may be retried only after the server has rejected it.
         ("invoice", {}, {"after_seconds": 0.2}, True),
         ("invoice", {"end": AttemptEnd.REJECTED}, {"after_seconds": 0.2}, False),
+        # A request with an idempotency key may be retried in its zone for 0.3 s, its deduplication window.
         ("change", {}, {"after_seconds": 0.2, "server": "s1"}, False),
         ("change", {}, {"after_seconds": 0.2, "server": "s2"}, True),
         ("change", {}, {"after_seconds": 0.7, "server": "s1"}, True),
@@ -30,7 +33,9 @@
 )
 def test_retry(request_class: str, first: dict[str, Any], second: dict[str, Any], is_broken: bool) -> None:
     recorded_history = history(request(request_class), attempt(**first), attempt(**second))
-    violations = list(check_retries(recorded_history, deployment(deduplication_scope=DeduplicationScope.ZONE)))
+    violations = list(
+        check_retries(recorded_history, deployment(deduplication_scope=DeduplicationScope.ZONE))
+    )
     assert bool(violations) == is_broken
 
 
@@ -49,5 +54,7 @@
 
 @pytest.mark.parametrize(("announced_seconds", "is_broken"), [(0.8, False), (0.95, False), (1.1, True)])
 def test_deadline_propagation(announced_seconds: float, is_broken: bool) -> None:
-    recorded_history = history(request(), attempt(after_seconds=0.2, propagated_timeout_seconds=announced_seconds))
+    recorded_history = history(
+        request(), attempt(after_seconds=0.2, propagated_timeout_seconds=announced_seconds)
+    )
     assert bool(list(check_deadline_propagation(recorded_history, deployment()))) == is_broken
--- a/tests/soak/invariants/test_endpoint_list.py
+++ b/tests/soak/invariants/test_endpoint_list.py
@@ -1,4 +1,4 @@
-"""Tests of the invariant of the endpoint list."""
+"""Tests of the invariant of the endpoint list: departing account servers get no new attempts."""
 
 from __future__ import annotations
 
@@ -13,6 +13,7 @@
 UP = EndpointHealth.UP
 
 
+# Each notification has its age in seconds when the attempt is sent; the grace time is 1 s.
 @pytest.mark.parametrize(
     ("notifications", "is_broken"),
     [
--- a/tests/soak/invariants/test_evidence.py
+++ b/tests/soak/invariants/test_evidence.py
@@ -1,4 +1,4 @@
-"""Tests of the events that explain a violation."""
+"""Tests of the events that are reported to explain a violation."""
 
 from __future__ import annotations
 
@@ -11,4 +11,8 @@
     recorded_history = history(unanswered(), attempt(), attempt(request_id="n0-2"), sidecar_incarnation())
     [violation] = check_final_responses(recorded_history, deployment())
     events = relevant_events(recorded_history, violation)
-    assert events == [recorded_history.requests["n0-1"], recorded_history.attempts[0], recorded_history.sidecars[0]]
+    assert events == [
+        recorded_history.requests["n0-1"],
+        recorded_history.attempts[0],
+        recorded_history.sidecars[0],
+    ]
--- a/tests/soak/invariants/test_processes.py
+++ b/tests/soak/invariants/test_processes.py
@@ -43,7 +43,9 @@
     ],
 )
 def test_malformed_peer(fields: dict[str, Any], is_broken: bool) -> None:
-    recorded_history = History(malformed_peers=[MalformedPeer("n0", "sends nothing", SENT_AT_SECONDS, **fields)])
+    recorded_history = History(
+        malformed_peers=[MalformedPeer("n0", "sends nothing", SENT_AT_SECONDS, **fields)]
+    )
     assert bool(list(check_malformed_peers(recorded_history, deployment()))) == is_broken
 
 
--- a/tests/soak/invariants/test_responses.py
+++ b/tests/soak/invariants/test_responses.py
@@ -1,4 +1,4 @@
-"""Tests of the invariants of responses."""
+"""Tests of the invariants of the responses that clients get."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 @pytest.mark.parametrize(
-    ("given", "is_broken"),
+    ("client_request", "is_broken"),
     [
         (request(), False),
         (request(answered_at_seconds=DEADLINE_SECONDS + 0.4), False),
@@ -51,8 +51,8 @@
         ),
     ],
 )
-def test_final_response(given: ClientRequest, is_broken: bool) -> None:
-    violations = list(check_final_responses(history(given, sidecar_incarnation()), deployment()))
+def test_final_response(client_request: ClientRequest, is_broken: bool) -> None:
+    violations = list(check_final_responses(history(client_request, sidecar_incarnation()), deployment()))
     assert bool(violations) == is_broken
 
 
@@ -82,38 +82,38 @@
             True,
         ),
     ],
-    ids=["killed", "killed after its time to stop", "ended"],
+    ids=["killed", "killed after SIGTERM", "ended after SIGTERM"],
 )
 def test_final_response_of_process_that_ends(incarnation: SidecarIncarnation, is_broken: bool) -> None:
-    given = unanswered(end=ConnectionEnd.RESET, ended_at_seconds=SENT_AT_SECONDS + 0.5)
-    violations = list(check_final_responses(history(given, incarnation), deployment()))
+    client_request = unanswered(end=ConnectionEnd.RESET, ended_at_seconds=SENT_AT_SECONDS + 0.5)
+    violations = list(check_final_responses(history(client_request, incarnation), deployment()))
     assert bool(violations) == is_broken
 
 
 def test_lag_of_the_harness_excuses_a_late_response() -> None:
-    late = history(request(answered_at_seconds=DEADLINE_SECONDS + 0.6), sidecar_incarnation())
-    late.lags.append(HarnessLag(DEADLINE_SECONDS, DEADLINE_SECONDS + 0.2))
-    assert not list(check_final_responses(late, deployment()))
+    recorded_history = history(request(answered_at_seconds=DEADLINE_SECONDS + 0.6), sidecar_incarnation())
+    recorded_history.lags.append(HarnessLag(DEADLINE_SECONDS, DEADLINE_SECONDS + 0.2))
+    assert not list(check_final_responses(recorded_history, deployment()))
 
 
 @pytest.mark.parametrize(("body", "is_broken"), [("n0-1 s0-1", False), ("n0-2 s0-1", True)])
 def test_response_origin(body: str, is_broken: bool) -> None:
-    given = history(request(body=body), attempt())
-    assert bool(list(check_response_origin(given, deployment()))) == is_broken
+    recorded_history = history(request(body=body), attempt())
+    assert bool(list(check_response_origin(recorded_history, deployment()))) == is_broken
 
 
 @pytest.mark.parametrize(("lag_seconds", "is_broken"), [(0.003, True), (0.01, False)])
 def test_response_is_excused_only_where_the_harness_delayed_a_duplicate(
     lag_seconds: float, is_broken: bool
 ) -> None:
-    given = history(request(body="n0-2 s0-1"), attempt())
-    given.lags.append(HarnessLag(SENT_AT_SECONDS, SENT_AT_SECONDS + lag_seconds))
-    given.faults.append(
+    recorded_history = history(request(body="n0-2 s0-1"), attempt())
+    recorded_history.lags.append(HarnessLag(SENT_AT_SECONDS, SENT_AT_SECONDS + lag_seconds))
+    recorded_history.faults.append(
         InjectedFault(
             "account servers send duplicate responses", "8 servers", 9.0, 11.0, sends_duplicate_responses=True
         )
     )
-    assert bool(list(check_response_origin(given, deployment()))) == is_broken
+    assert bool(list(check_response_origin(recorded_history, deployment()))) == is_broken
 
 
 @pytest.mark.parametrize(
@@ -127,6 +127,8 @@
 )
 def test_rejection_after_attempt(request_class: str, end: AttemptEnd, is_broken: bool) -> None:
     rejected = request(request_class, status=503, answered_at_seconds=SENT_AT_SECONDS + 0.5)
-    given = history(rejected, attempt(end=end))
-    violations = list(check_rejections(given, deployment(deduplication_scope=DeduplicationScope.CELL)))
+    recorded_history = history(rejected, attempt(end=end))
+    violations = list(
+        check_rejections(recorded_history, deployment(deduplication_scope=DeduplicationScope.CELL))
+    )
     assert bool(violations) == is_broken
--- a/tests/soak/invariants/test_slow_start.py
+++ b/tests/soak/invariants/test_slow_start.py
@@ -18,7 +18,11 @@
     ("count", "needs_warm_up", "is_broken"), [(50, True, False), (70, True, True), (70, False, False)]
 )
 def test_slow_start(count: int, needs_warm_up: bool, is_broken: bool) -> None:
-    """In its first 2 s it has 0.1 to 0.28 of 100 requests a second: 38, and the slack makes 52."""
+    """In its first 2 s, the server may get 52 requests.
+
+    Its capacity rises from 0.1 to 0.28 of 100 requests per second. That allows 38 requests in 2 s, and the
+    slack makes 52 of them.
+    """
     incarnation = ServerIncarnation("s9", "zone-a", 0, SENT_AT_SECONDS, needs_warm_up=needs_warm_up)
     attempts = [attempt(after_seconds=2.0 * index / count, server="s9") for index in range(count)]
     recorded_history = history(incarnation, *attempts)
--- a/tests/soak/test_fault_injection.py
+++ b/tests/soak/test_fault_injection.py
@@ -1,4 +1,4 @@
-"""Tests of the registry of injections."""
+"""Tests of the registry of injections, and of the faults that send duplicate responses."""
 
 from __future__ import annotations
 
--- a/tests/soak/test_fault_plan.py
+++ b/tests/soak/test_fault_plan.py
@@ -1,4 +1,4 @@
-"""Tests of the fault plan."""
+"""Tests of the deployment and the fault plan that are drawn from a seed."""
 
 from __future__ import annotations
 
@@ -28,4 +28,5 @@
         )
         for fault in plan
     ]
+    # At the start of the median fault, at least 3 faults are active, itself included.
     assert sorted(overlap_counts)[len(plan) // 2] >= 3
--- a/tests/soak/test_mutation_testing.py
+++ b/tests/soak/test_mutation_testing.py
@@ -1,4 +1,4 @@
-"""Tests of the mutation testing."""
+"""Tests of the mutants, and of the command line that runs the soak on them."""
 
 from __future__ import annotations
 
@@ -51,4 +51,4 @@
     with pytest.raises(SystemExit) as caught:
         main(["--help"])
     assert caught.value.code == 0
-    assert "A mutant takes one guard of the sidecar away" in " ".join(capsys.readouterr().out.split())
+    assert "A mutant removes one safeguard of the sidecar" in " ".join(capsys.readouterr().out.split())
