--- a/soak/fleet.py
+++ b/soak/fleet.py
@@ -42,6 +42,10 @@
     """Everything that runs in a soak: account servers, discovery, sidecars and clients.
 
     Attributes:
+        deployment: the deployment that the fleet follows.
+        history: where all events are recorded.
+        clock: the clock of the soak.
+        directory: the endpoint list that the discovery agents serve.
         servers: the account servers that neither drain nor are removed.
         members: the sidecars with their clients.
     """
--- a/soak/history/clock.py
+++ b/soak/history/clock.py
@@ -1,4 +1,7 @@
-"""The clock of the soak, and the record of when the soak's own event loop was late."""
+"""The clock of the soak, and the record of when its event loop was late.
+
+The harness is the process of the soak itself, with the clients, account servers and discovery agents in it.
+"""
 
 from __future__ import annotations
 
--- a/soak/invariants/attempts.py
+++ b/soak/invariants/attempts.py
@@ -117,7 +117,7 @@
         lateness_seconds = end_seconds - start_seconds
         is_late = lateness_seconds > limit_seconds
         if is_late and not was_stopped(history, request.sidecar, start_seconds, end_seconds):
-            message = f"an attempt started {lateness_seconds:.2f} s after the client had disconnected"
+            message = f"an attempt arrived {lateness_seconds:.2f} s after the client had disconnected"
             yield request_violation(Invariant.DISCONNECTED_CLIENT, message, end_seconds, request)
 
 
