--- a/soak/fault_injection/targets.py
+++ b/soak/fault_injection/targets.py
@@ -17,9 +17,9 @@
 
 def choose_member(fleet: Fleet, fault: PlannedFault) -> Member:
     """Return the sidecar, with its clients, that is the target of a fault."""
-    return fleet.members[int(fault.choice * len(fleet.members)) % len(fleet.members)]
+    return fleet.members[int(fault.target_choice * len(fleet.members)) % len(fleet.members)]
 
 
 def choose_server(fleet: Fleet, fault: PlannedFault) -> AccountServer:
     """Return the account server that is the target of a fault."""
-    return fleet.servers[int(fault.choice * len(fleet.servers)) % len(fleet.servers)]
+    return fleet.servers[int(fault.target_choice * len(fleet.servers)) % len(fleet.servers)]
--- a/soak/fault_plan.py
+++ b/soak/fault_plan.py
@@ -62,12 +62,12 @@
 
 @dataclass(frozen=True, slots=True)
 class PlannedFault:
-    """A fault of the plan. `choice` selects its target among those that exist when the fault starts."""
+    """A fault of the plan. `target_choice` selects its target among those that exist when the fault starts."""
 
     kind: FaultKind
     starts_at_seconds: float
     seconds: float
-    choice: float
+    target_choice: float
     """From 0 to 1: selects the target by its position."""
     strength: float
     """From 0 to 1: how severe the fault is, or which variant of its kind it is."""
@@ -86,7 +86,7 @@
 
 def _draw_cluster(random: Random, start_seconds: float, last_start_seconds: float) -> list[PlannedFault]:
     """Draw faults that start close together; the order of the draws decides which plan a seed gives."""
-    cluster_choice = random.random()
+    cluster_target_choice = random.random()
     faults = []
     for _ in range(random.randint(MIN_FAULTS_PER_CLUSTER, MAX_FAULTS_PER_CLUSTER)):
         hits_target_of_cluster = random.random() < SAME_TARGET_PROBABILITY
@@ -96,7 +96,7 @@
                 last_start_seconds, start_seconds + CLUSTER_SPREAD_SECONDS * random.random()
             ),
             seconds=random.uniform(MIN_FAULT_SECONDS, MAX_FAULT_SECONDS),
-            choice=cluster_choice if hits_target_of_cluster else random.random(),
+            target_choice=cluster_target_choice if hits_target_of_cluster else random.random(),
             strength=random.random(),
         )
         faults.append(fault)
--- a/tests/soak/test_fault_injection.py
+++ b/tests/soak/test_fault_injection.py
@@ -33,5 +33,5 @@
     ],
 )
 def test_faults_that_send_duplicate_responses(kind: FaultKind, strength: float, expected: bool) -> None:
-    fault = PlannedFault(kind, starts_at_seconds=0.0, seconds=1.0, choice=0.0, strength=strength)
+    fault = PlannedFault(kind, starts_at_seconds=0.0, seconds=1.0, target_choice=0.0, strength=strength)
     assert sends_duplicate_responses(fault) == expected
