--- a/soak/fault_plan.py
+++ b/soak/fault_plan.py
@@ -62,7 +62,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PlannedFault:
-    """A fault of the plan. `target_choice` selects its target among those that exist when the fault starts."""
+    """A fault of the plan. `target_choice` selects its target among those that exist when it starts."""
 
     kind: FaultKind
     starts_at_seconds: float
--- a/tests/soak/invariants/test_processes.py
+++ b/tests/soak/invariants/test_processes.py
@@ -24,6 +24,7 @@
         ({"max_memory_megabytes": 10_000.0}, True),
         ({"log": "ERROR x: invariant_violated invariant=y"}, True),
         ({"log": "WARNING x: invariant_violated invariant=y"}, True),
+        # A configuration that cannot be read is one of the injected faults.
         ({"log": "ERROR x: reload_failed error=OSError"}, False),
         ({"killed_at_seconds": 50.0, "stop_requested_at_seconds": None, "exit_status": -9}, False),
     ],
--- a/tests/soak/invariants/test_responses.py
+++ b/tests/soak/invariants/test_responses.py
@@ -36,15 +36,18 @@
         (request(), False),
         (request(answered_at_seconds=DEADLINE_SECONDS + 0.4), False),
         (request(answered_at_seconds=DEADLINE_SECONDS + 0.6), True),
+        # The responses to earlier requests on the connection come first.
         (
             request(answered_at_seconds=DEADLINE_SECONDS + 0.6, blocked_until_seconds=DEADLINE_SECONDS + 0.5),
             False,
         ),
         (unanswered(), True),
         (unanswered(disconnected_at_seconds=SENT_AT_SECONDS + 0.1), False),
+        # Only a connection that has been idle for long may be closed at the same time as a request is sent.
         (unanswered(**CLOSED), True),
         (unanswered(**CLOSED, is_first_on_connection=False, connection_idle_seconds=0.1), True),
         (unanswered(**CLOSED, is_first_on_connection=False, connection_idle_seconds=3.0), False),
+        # The connection ended within a response, which the account server may have truncated.
         (
             unanswered(end=ConnectionEnd.TRUNCATED_RESPONSE, ended_at_seconds=SENT_AT_SECONDS + 0.1),
             False,
--- a/tests/soak/invariants/test_slow_start.py
+++ b/tests/soak/invariants/test_slow_start.py
@@ -33,6 +33,7 @@
 def test_server_that_has_been_healthy_for_long_gets_requests(
     started_at_seconds: float, is_broken: bool
 ) -> None:
+    # The faults end at 100 s; the warm-up takes 10 s and the settling margin is 2.5 s.
     starved = ServerIncarnation("s9", "zone-a", 0, started_at_seconds, needs_warm_up=True)
     attempts = [
         attempt(server=f"s{index % 3}", received_at_seconds=100.0 + index / 10, started_at_seconds=100.0)
