--- a/soak/fault_injection/discovery_faults.py
+++ b/soak/fault_injection/discovery_faults.py
@@ -1,4 +1,4 @@
-"""Faults of discovery."""
+"""Faults of discovery: unresponsive watches, reset connections and outages."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from soak.fleet import Fleet
 
 ALL_AGENTS_STRENGTH = 0.5
-"""Strength of an outage from which on it affects the agents of all sidecars."""
+"""Strength from which on an outage affects the agents of all sidecars, not of one."""
 
 
 class DiscoveryFaultInjector:
@@ -21,12 +21,12 @@
     def injections(self) -> InjectionsByKind:
         """Return the injection of each kind of fault that this class injects."""
         return {
-            FaultKind.WATCHES_SILENT: self._silence_watches,
+            FaultKind.WATCHES_UNRESPONSIVE: self._make_watches_unresponsive,
             FaultKind.DISCOVERY_RESETS: self._reset_connections,
             FaultKind.DISCOVERY_DOWN: self._take_down,
         }
 
-    async def _silence_watches(self, fault: PlannedFault) -> str:
+    async def _make_watches_unresponsive(self, fault: PlannedFault) -> str:
         sidecar = choose_member(self._fleet, fault).sidecar
         sidecar.agent.stop_watch_responses()
         await asyncio.sleep(fault.seconds)
