--- a/balancer/policy/balancer.py
+++ b/balancer/policy/balancer.py
@@ -124,8 +124,8 @@
             api.EndpointUpdate: self._on_endpoint_update,
             api.RequestReceived: arrivals.handle,
             api.AttemptCompleted: completions.handle,
-            api.ClientDisconnected: self._on_answer_not_needed,
-            api.StreamStarted: self._on_answer_not_needed,
+            api.ClientDisconnected: self._on_response_not_needed,
+            api.StreamStarted: self._on_response_not_needed,
             api.TimerFired: self._on_timer,
             api.GossipReceived: self.gossip.merge,
             api.HealthCheckCompleted: health_checks.handle,
@@ -153,6 +153,6 @@
         self._actions += self.maintenance.run(self.overload.is_overloaded, now_ns)
         self.control_cycle.end(now_ns)
 
-    def _on_answer_not_needed(self, _now_ns: int, event: api.ClientDisconnected | api.StreamStarted) -> None:
+    def _on_response_not_needed(self, _now_ns: int, event: api.ClientDisconnected | api.StreamStarted) -> None:
         """Forget a request that needs no final answer; a stream has no deadline and is never retried."""
         self.requests.pop(event.request_id, None)
--- a/balancer/policy/overload/admission.py
+++ b/balancer/policy/overload/admission.py
@@ -11,31 +11,31 @@
 from balancer.policy.overload.priority_levels import USER_LEVELS, PriorityLevels
 from balancer.policy_api import RequestReceived, Settings
 
-MIN_RAISE = 0.05
+MIN_REJECTION_STEP = 0.05
 """Least share of the admitted traffic that a cycle sheds; a smaller excess does not raise the threshold."""
 
-MAX_RAISE = 0.5
+MAX_REJECTION_STEP = 0.5
 """Largest share of the admitted traffic that one cycle sheds."""
 
-DRAIN = 0.25
+QUEUE_REDUCTION_SHARE = 0.25
 """Share by which less is sent than the endpoints finish, per slack of queueing delay, to empty queues."""
 
-MAX_DRAIN_DELAY = 2.0
+MAX_QUEUE_REDUCTION_DELAY = 2.0
 """Queueing delay, in slacks, beyond which the endpoints are not drained any faster."""
 
-MIN_LOWER = 0.005
+MIN_READMISSION_STEP = 0.005
 """Share of the arrivals that a cycle admits again without calm: states that feed on load end only at rest."""
 
-MAX_LOWER = 0.1
+MAX_READMISSION_STEP = 0.1
 """Share of the arrivals that a cycle admits again in lasting calm, which shows spare capacity."""
 
-CALM_RAMP_CYCLES = 8
+READMISSION_RAMP_CYCLES = 8
 """Cycles without overload since the threshold was last raised, after which calm counts in full."""
 
-NEGLIGIBLE_MASS = 1e-9
+NEGLIGIBLE_ARRIVAL_COUNT = 1e-9
 """Number of arrivals that counts as none, because rounding may leave it."""
 
-MAX_SHED = 0.9
+MAX_REJECTED_SHARE = 0.9
 """Largest share of the arrivals to shed: without attempts there would be no samples of the delay."""
 
 
@@ -48,7 +48,7 @@
         self.threshold = 0.0
         """A priority: a level, with a position within it as the fraction."""
         self.max_threshold = self._levels.business_level_count * USER_LEVELS
-        self._calm_cycles = 0
+        self._cycles_without_overload = 0
 
     def classify(self, event: RequestReceived, now_ns: int) -> float:
         """Count an arriving request and return its priority: a level plus the position within it."""
@@ -59,10 +59,10 @@
         self.arrivals.record_keyless(self._levels.business_level(event))
         return self._levels.keyless_priority(event, now_ns)
 
-    def adjust(self, queueing_delay: float, delay_threshold: float, answer_ratio: float) -> float:
+    def adjust(self, queueing_delay: float, delay_threshold: float, response_ratio: float) -> float:
         """Raise the threshold in overload, else lower it; return the share of the traffic newly shed."""
         if queueing_delay > delay_threshold:
-            return self._shed_excess(queueing_delay, answer_ratio)
+            return self._reject_excess(queueing_delay, response_ratio)
         if self.threshold > 0:
             self._readmit(queueing_delay, delay_threshold)
         return 0.0
@@ -72,65 +72,65 @@
         self.arrivals.end_cycle()
 
     def raise_threshold(self, share: float) -> None:
-        """Raise the threshold until this share of the admitted traffic is shed, within `MAX_SHED`."""
+        """Raise the threshold until this share of the admitted traffic is shed, within `MAX_REJECTED_SHARE`."""
         ranges = self.arrivals.level_ranges()
-        mass_to_shed = self._mass_to_shed(ranges, share)
+        count_to_reject = self._count_to_reject(ranges, share)
         for level_range in ranges:
             low = max(self.threshold, level_range.first_level)
             end_level = level_range.end_level
-            mass = level_range.mass_between(low, end_level)
-            if mass <= NEGLIGIBLE_MASS:
+            arrival_count = level_range.count_between(low, end_level)
+            if arrival_count <= NEGLIGIBLE_ARRIVAL_COUNT:
                 continue
-            if mass >= mass_to_shed:
-                levels = max(0.0, mass_to_shed) * level_range.level_count / level_range.mass
+            if arrival_count >= count_to_reject:
+                levels = max(0.0, count_to_reject) * level_range.level_count / level_range.arrival_count
                 self.threshold = low + levels
                 return
-            mass_to_shed -= mass
+            count_to_reject -= arrival_count
             self.threshold = float(end_level)
 
     def lower_threshold(self, share: float) -> None:
         """Lower the threshold until this share of the arrivals is admitted again, by at least one level."""
         ranges = self.arrivals.level_ranges()
-        mass_to_admit = share * _total_mass(ranges)
+        count_to_admit = share * _total_count(ranges)
         one_level_lower = max(0.0, self.threshold - 1)
         for level_range in reversed(ranges):
             high = min(self.threshold, level_range.end_level)
-            mass = level_range.mass_between(level_range.first_level, high)
-            if mass <= NEGLIGIBLE_MASS:
+            arrival_count = level_range.count_between(level_range.first_level, high)
+            if arrival_count <= NEGLIGIBLE_ARRIVAL_COUNT:
                 continue
-            if mass >= mass_to_admit:
-                levels = mass_to_admit * level_range.level_count / level_range.mass
+            if arrival_count >= count_to_admit:
+                levels = count_to_admit * level_range.level_count / level_range.arrival_count
                 self.threshold = min(one_level_lower, high - levels)
                 return
-            mass_to_admit -= mass
+            count_to_admit -= arrival_count
             self.threshold = float(level_range.first_level)
         self.threshold = 0.0
 
-    def _shed_excess(self, queueing_delay: float, answer_ratio: float) -> float:
+    def _reject_excess(self, queueing_delay: float, response_ratio: float) -> float:
         """Shed what the endpoints cannot finish, if it is more than a little; return the share of it."""
         # Overloaded endpoints finish what they can. To send just that, less a part to drain, is enough.
-        drain_share = DRAIN * min(MAX_DRAIN_DELAY, queueing_delay)
-        sustainable_share = answer_ratio * (1 - drain_share)
-        if sustainable_share >= 1 - MIN_RAISE:
+        reduction_share = QUEUE_REDUCTION_SHARE * min(MAX_QUEUE_REDUCTION_DELAY, queueing_delay)
+        sustainable_share = response_ratio * (1 - reduction_share)
+        if sustainable_share >= 1 - MIN_REJECTION_STEP:
             return 0.0
-        shed_share = min(MAX_RAISE, 1 - sustainable_share)
-        self.raise_threshold(shed_share)
-        self._calm_cycles = 0
-        return shed_share
+        rejected_share = min(MAX_REJECTION_STEP, 1 - sustainable_share)
+        self.raise_threshold(rejected_share)
+        self._cycles_without_overload = 0
+        return rejected_share
 
     def _readmit(self, queueing_delay: float, delay_threshold: float) -> None:
         """Lower the threshold, the more the smaller the delay is and the longer that has lasted."""
-        self._calm_cycles = min(self._calm_cycles + 1, CALM_RAMP_CYCLES)
+        self._cycles_without_overload = min(self._cycles_without_overload + 1, READMISSION_RAMP_CYCLES)
         calm = 1 - max(0.0, queueing_delay) / delay_threshold
-        lasting_calm = calm * self._calm_cycles / CALM_RAMP_CYCLES
-        self.lower_threshold(MIN_LOWER + (MAX_LOWER - MIN_LOWER) * lasting_calm)
+        lasting_calm = calm * self._cycles_without_overload / READMISSION_RAMP_CYCLES
+        self.lower_threshold(MIN_READMISSION_STEP + (MAX_READMISSION_STEP - MIN_READMISSION_STEP) * lasting_calm)
 
-    def _mass_to_shed(self, ranges: Sequence[LevelRange], share: float) -> float:
-        """Return the number of arrivals that make up a share of the admitted ones, within `MAX_SHED`."""
-        admitted = sum(level_range.mass * level_range.share_above(self.threshold) for level_range in ranges)
-        min_admitted = (1 - MAX_SHED) * _total_mass(ranges)
+    def _count_to_reject(self, ranges: Sequence[LevelRange], share: float) -> float:
+        """Return the number of arrivals that make up a share of the admitted ones, within `MAX_REJECTED_SHARE`."""
+        admitted = sum(level_range.arrival_count * level_range.share_above(self.threshold) for level_range in ranges)
+        min_admitted = (1 - MAX_REJECTED_SHARE) * _total_count(ranges)
         return min(share * admitted, admitted - min_admitted)
 
 
-def _total_mass(ranges: Sequence[LevelRange]) -> float:
-    return sum(level_range.mass for level_range in ranges)
+def _total_count(ranges: Sequence[LevelRange]) -> float:
+    return sum(level_range.arrival_count for level_range in ranges)
--- a/balancer/policy/overload/arrival_histogram.py
+++ b/balancer/policy/overload/arrival_histogram.py
@@ -7,7 +7,7 @@
 HISTOGRAM_DECAY = 0.9
 """Share of the arrivals that is kept from cycle to cycle: a memory of about 2.5 s."""
 
-MIN_LEVEL_MASS = 0.02
+MIN_LEVEL_COUNT = 0.02
 """Number of arrivals at or below which a level is dropped, to bound the size of the histogram."""
 
 
@@ -16,7 +16,7 @@
 
     first_level: int
     level_count: int
-    mass: float
+    arrival_count: float
     """Number of arrivals, decayed."""
 
     @property
@@ -28,9 +28,9 @@
         """Return the share of the arrivals whose priority is at or above a threshold."""
         return min(1.0, max(0.0, (self.first_level + self.level_count - threshold) / self.level_count))
 
-    def mass_between(self, low: float, high: float) -> float:
+    def count_between(self, low: float, high: float) -> float:
         """Return the number of arrivals between two priorities."""
-        return self.mass * (high - low) / self.level_count
+        return self.arrival_count * (high - low) / self.level_count
 
 
 class ArrivalHistogram:
@@ -52,9 +52,9 @@
     def end_cycle(self) -> None:
         """Let older arrivals decay."""
         self._keyed = {
-            level: mass * HISTOGRAM_DECAY for level, mass in self._keyed.items() if mass > MIN_LEVEL_MASS
+            level: arrival_count * HISTOGRAM_DECAY for level, arrival_count in self._keyed.items() if arrival_count > MIN_LEVEL_COUNT
         }
-        self.keyless = [mass * HISTOGRAM_DECAY for mass in self.keyless]
+        self.keyless = [arrival_count * HISTOGRAM_DECAY for arrival_count in self.keyless]
 
     def level_ranges(self) -> list[LevelRange]:
         """Return the arrivals as ranges of levels, in order.
@@ -62,15 +62,15 @@
         The ranges are disjoint: where two overlapped, a threshold that passes them one after the other would
         move too far. Arrivals without keys are therefore distributed over single levels where there are keys.
         """
-        mass_by_level = dict(self._keyed)
+        count_by_level = dict(self._keyed)
         keyed_business_levels = {level // USER_LEVELS for level in self._keyed}
         ranges: list[LevelRange] = []
-        for business_level, mass in enumerate(self.keyless):
+        for business_level, arrival_count in enumerate(self.keyless):
             first_level = business_level * USER_LEVELS
             if business_level not in keyed_business_levels:
-                ranges.append(LevelRange(first_level, USER_LEVELS, mass))
-            elif mass:
+                ranges.append(LevelRange(first_level, USER_LEVELS, arrival_count))
+            elif arrival_count:
                 for level in range(first_level, first_level + USER_LEVELS):
-                    mass_by_level[level] = mass_by_level.get(level, 0.0) + mass / USER_LEVELS
-        ranges += [LevelRange(level, 1, mass) for level, mass in mass_by_level.items()]
+                    count_by_level[level] = count_by_level.get(level, 0.0) + arrival_count / USER_LEVELS
+        ranges += [LevelRange(level, 1, arrival_count) for level, arrival_count in count_by_level.items()]
         return sorted(ranges)
--- a/balancer/policy/overload/control_cycle.py
+++ b/balancer/policy/overload/control_cycle.py
@@ -34,7 +34,7 @@
         self._budget = budget
         self._running_attempts = running_attempts
 
-    def end_if_full(self, now_ns: int) -> None:
+    def end_if_attempt_limit_reached(self, now_ns: int) -> None:
         """End the cycle when its attempts reach the limit, or a multiple of it if samples were too few."""
         if self._overload.cycle.attempt_count % MAX_ATTEMPTS_PER_CYCLE == 0:
             self.end(now_ns)
@@ -42,21 +42,21 @@
     def end(self, now_ns: int) -> None:
         """Adjust to the evidence of the cycle and begin the next one; wait if there are too few samples."""
         self._running_attempts.sample_all(now_ns)
-        if self._overload.may_await_samples(now_ns):
+        if self._overload.should_extend_cycle(now_ns):
             self._actions += self._gossip.share()
             return
-        self.adjust_load(now_ns)
+        self.update_admission_and_spillover(now_ns)
         self._budget.increase()
         self._admission.end_cycle()
         self._overload.end_cycle(now_ns)
         self._actions += self._gossip.share()
         self._gossip.cycle_count += 1
 
-    def adjust_load(self, now_ns: int) -> None:
+    def update_admission_and_spillover(self, now_ns: int) -> None:
         """Update the load estimate and the spillover ratio, then the admission threshold."""
         overload = self._overload
         overload.update_estimate(bool(self._subsets.remote.ranked), now_ns)
-        shed_share = self._admission.adjust(
-            overload.queueing_delay, overload.threshold, overload.answer_ratio
+        rejected_share = self._admission.adjust(
+            overload.queueing_delay, overload.threshold, overload.response_ratio
         )
-        overload.discount_attempts(shed_share)
+        overload.discount_attempts(rejected_share)
--- a/balancer/policy/overload/detector.py
+++ b/balancer/policy/overload/detector.py
@@ -14,13 +14,13 @@
 MIN_SAMPLES = 3.0
 """Number of samples that an estimate needs, so that a single late answer is no overload."""
 
-MIN_SHARED_SAMPLES = 0.5
+MIN_SAMPLES_WITH_GOSSIP = 0.5
 """The same with gossip, where the samples stand for those of many sidecars."""
 
 MIN_THRESHOLD = 0.1
 """Least mean queueing delay that counts as overload, as a share of the slack."""
 
-THRESHOLD_BASELINES = 1.5
+BASELINE_MULTIPLE = 1.5
 """Multiple of the baseline added to the threshold: few cores queue that much at ordinary load."""
 
 MAX_BASELINE_SHARE = 0.25
@@ -35,10 +35,10 @@
         self.latency = LatencyTracker(settings.classes)
         self.queueing = QueueingDelayEstimator(settings)
         self.spillover = CrossZoneSpillover(settings)
-        self._min_samples = MIN_SHARED_SAMPLES if settings.gossip_enabled else MIN_SAMPLES
+        self._min_samples = MIN_SAMPLES_WITH_GOSSIP if settings.gossip_enabled else MIN_SAMPLES
         self.queueing_delay = 0.0
         """By the last estimate, as a share of the slack."""
-        self.answer_ratio = 1.0
+        self.response_ratio = 1.0
         """Answers per attempt by the last estimate."""
         self.threshold = _delay_threshold(MAX_BASELINE_SHARE)
         """Queueing delay above which the endpoints are overloaded."""
@@ -49,7 +49,7 @@
         return self.queueing_delay > self.threshold
 
     @property
-    def is_calm(self) -> bool:
+    def has_low_queueing_delay(self) -> bool:
         """Whether the queueing delay is at most half the threshold."""
         return self.queueing_delay <= self.threshold / 2
 
@@ -66,7 +66,7 @@
         """Record the queueing delay of an attempt, in place of what was recorded for it before."""
         self.queueing.record_delay(endpoint, request, delay)
 
-    def may_await_samples(self, now_ns: int) -> bool:
+    def should_extend_cycle(self, now_ns: int) -> bool:
         """Return whether there are too few samples yet, and the cycle may be extended to gather more."""
         return self.cycle.may_be_extended(now_ns) and self.queueing.sample_count < self._min_samples
 
@@ -74,13 +74,13 @@
         """Estimate the queueing delay, and adjust the spillover if there are endpoints in other zones."""
         loads = self.queueing.estimate()
         self.queueing_delay = loads.overall.queueing_delay
-        self.answer_ratio = loads.overall.answer_ratio
+        self.response_ratio = loads.overall.response_ratio
         if has_remote:
             self.spillover.update(loads, self.threshold, self.cycle.elapsed_ns(now_ns))
 
-    def discount_attempts(self, shed_share: float) -> None:
+    def discount_attempts(self, rejected_share: float) -> None:
         """Count the attempts as if this share of the traffic had been shed from the beginning."""
-        self.queueing.discount_attempts(shed_share)
+        self.queueing.discount_attempts(rejected_share)
 
     def end_cycle(self, now_ns: int) -> None:
         """Update baselines and threshold, let older evidence decay, and begin the next cycle."""
@@ -95,4 +95,4 @@
 
 def _delay_threshold(baseline_share: float) -> float:
     """Return the queueing delay that counts as overload where the baseline is this share of the slack."""
-    return MIN_THRESHOLD + THRESHOLD_BASELINES * baseline_share
+    return MIN_THRESHOLD + BASELINE_MULTIPLE * baseline_share
--- a/balancer/policy/overload/gossip.py
+++ b/balancer/policy/overload/gossip.py
@@ -7,7 +7,7 @@
 from balancer.policy.overload.detector import OverloadDetector
 from balancer.policy_api import GossipReceived, SendGossip, Settings
 
-KEPT_SHARE = 1 / 2
+RETAINED_SHARE = 1 / 2
 """Share of all sums that a sidecar keeps; it sends the rest, so that all approach the mean of the fleet."""
 
 THRESHOLD_WEIGHT = 0.25
@@ -16,7 +16,7 @@
 RESTARTED_THRESHOLD_WEIGHT = 1.0
 """The same just after a start, when the own threshold says nothing."""
 
-SETTLED_CYCLES = 4
+MIN_CYCLES_TO_SHARE_THRESHOLD = 4
 """Cycles after which a sidecar's own threshold is worth sharing."""
 
 
@@ -39,9 +39,9 @@
         )
 
     @property
-    def _is_settled(self) -> bool:
+    def _has_established_threshold(self) -> bool:
         """Whether the own threshold is worth sharing."""
-        return self.cycle_count >= SETTLED_CYCLES
+        return self.cycle_count >= MIN_CYCLES_TO_SHARE_THRESHOLD
 
     def share(self) -> list[SendGossip]:
         """Halve all sums, and return the message that carries the other half if there is a recipient."""
@@ -49,7 +49,7 @@
         if not settings.gossip_enabled or settings.instance_count <= 1:
             return []
         message = self._current_message()
-        message.scale(KEPT_SHARE, MAX_VALUE)
+        message.scale(RETAINED_SHARE, MAX_VALUE)
         return [SendGossip(self._draw_recipient(), self.codec.encode(message))]
 
     def merge(self, _now_ns: int, event: GossipReceived) -> None:
@@ -70,15 +70,15 @@
 
     def _merge_threshold(self, received_threshold: float) -> None:
         """Move the own threshold towards that of another sidecar of the zone."""
-        weight = THRESHOLD_WEIGHT if self._is_settled else RESTARTED_THRESHOLD_WEIGHT
+        weight = THRESHOLD_WEIGHT if self._has_established_threshold else RESTARTED_THRESHOLD_WEIGHT
         self._admission.threshold += weight * (received_threshold - self._admission.threshold)
-        self.cycle_count = max(self.cycle_count, SETTLED_CYCLES)
+        self.cycle_count = max(self.cycle_count, MIN_CYCLES_TO_SHARE_THRESHOLD)
 
     def _current_message(self) -> GossipMessage:
         """Return a message that refers to the sums themselves, so that changes of it change them."""
         return GossipMessage(
             zone=self._settings.local_zone,
-            admission_threshold=self._admission.threshold if self._is_settled else None,
+            admission_threshold=self._admission.threshold if self._has_established_threshold else None,
             queueing=self._overload.queueing.evidence,
             keyless_arrivals=self._admission.arrivals.keyless,
             latencies=self._overload.latency.samples,
--- a/balancer/policy/overload/latency_tracker.py
+++ b/balancer/policy/overload/latency_tracker.py
@@ -16,13 +16,13 @@
 DEFAULT_BASELINE = 0.25
 """Baseline as a share of the latency objective while no answer of the class has been measured."""
 
-HANDSHAKE = 0.25
+HANDSHAKE_ALLOWANCE = 0.25
 """Allowance for a new connection as a share of the latency objective.
 
 Just after a start all connections are new, and the time to establish them is not queueing.
 """
 
-MIN_ANSWER_TIME = 2.0
+MIN_INFORMATIVE_TIMEOUT = 2.0
 """Multiple of the baseline: a timeout that is shorter says nothing about the endpoint."""
 
 
@@ -35,7 +35,7 @@
         self.means_ns = [0.0] * len(classes)
         self.baselines_ns = [0.0] * len(classes)
 
-    def record_answer(self, request: RequestState, duration_ns: int) -> float:
+    def record_latency(self, request: RequestState, duration_ns: int) -> float:
         """Record the latency of an answer, and return its ratio to the mean of the class."""
         samples = self.samples[request.class_index]
         samples.latency_sum += duration_ns / request.request_class.latency_objective_ns
@@ -47,10 +47,10 @@
         """Return the time beyond the baseline as a share of the slack, the objective less the baseline."""
         objective_ns = request.request_class.latency_objective_ns
         baseline_ns = self.baselines_ns[request.class_index] or objective_ns * DEFAULT_BASELINE
-        handshake_ns = HANDSHAKE * objective_ns if request.needs_connection else 0.0
+        handshake_ns = HANDSHAKE_ALLOWANCE * objective_ns if request.needs_connection else 0.0
         return (duration_ns - baseline_ns - handshake_ns) / (objective_ns - baseline_ns)
 
-    def is_too_short(self, request: RequestState | None, duration_ns: int) -> bool:
+    def is_timeout_too_short(self, request: RequestState | None, duration_ns: int) -> bool:
         """Return whether an answer without queueing could have taken longer than a timeout allowed.
 
         If the request is no longer known, the class with the lowest baseline decides.
@@ -59,7 +59,7 @@
             baseline_ns = min(self._baseline_or_default_ns(index) for index in range(len(self._classes)))
         else:
             baseline_ns = self._baseline_or_default_ns(request.class_index)
-        return duration_ns < MIN_ANSWER_TIME * baseline_ns
+        return duration_ns < MIN_INFORMATIVE_TIMEOUT * baseline_ns
 
     def end_cycle(self, min_samples: float) -> None:
         """Update the means and baselines of classes with enough samples, and let older samples decay."""
--- a/balancer/policy/overload/queueing_delay.py
+++ b/balancer/policy/overload/queueing_delay.py
@@ -28,7 +28,7 @@
 
     queueing_delay: float
     """Mean queueing delay as a share of the slack."""
-    answer_ratio: float
+    response_ratio: float
     """Answers per attempt; below 1 while queues grow."""
 
     @staticmethod
@@ -37,16 +37,16 @@
         queueing_delay = 0.0
         if evidence.sample_count > MIN_COUNT:
             queueing_delay = evidence.delay_sum / evidence.sample_count
-        answer_ratio = 1.0
+        response_ratio = 1.0
         if evidence.attempt_count > MIN_COUNT:
-            answer_ratio = evidence.answer_count / evidence.attempt_count
-        return LoadEstimate(queueing_delay, answer_ratio)
+            response_ratio = evidence.answer_count / evidence.attempt_count
+        return LoadEstimate(queueing_delay, response_ratio)
 
-    def mixed_with(self, other: LoadEstimate, other_share: float) -> LoadEstimate:
+    def weighted_mean(self, other: LoadEstimate, other_share: float) -> LoadEstimate:
         """Return the weighted mean with another estimate."""
         return LoadEstimate(
             self.queueing_delay + (other.queueing_delay - self.queueing_delay) * other_share,
-            self.answer_ratio + (other.answer_ratio - self.answer_ratio) * other_share,
+            self.response_ratio + (other.response_ratio - self.response_ratio) * other_share,
         )
 
 
@@ -100,7 +100,7 @@
         """Remove an attempt that turned out to say nothing about load."""
         self.evidence[zone].attempt_count -= 1
 
-    def record_answer(self, zone: int) -> None:
+    def record_success(self, zone: int) -> None:
         """Count a successful answer."""
         self.evidence[zone].answer_count += 1
 
@@ -120,12 +120,12 @@
             total.add(evidence)
         local = LoadEstimate.of_evidence(local_evidence)
         remote = LoadEstimate.of_evidence(remote_evidence)
-        return ZoneLoads(local, remote, local.mixed_with(remote, self.attempts.remote_share))
+        return ZoneLoads(local, remote, local.weighted_mean(remote, self.attempts.remote_share))
 
-    def discount_attempts(self, shed_share: float) -> None:
+    def discount_attempts(self, rejected_share: float) -> None:
         """Count the attempts as if this share of the traffic had been shed from the beginning."""
         for evidence in self.evidence:
-            evidence.attempt_count *= 1 - shed_share
+            evidence.attempt_count *= 1 - rejected_share
 
     def end_cycle(self) -> None:
         """Let older evidence decay, the faster the more samples there are."""
--- a/balancer/policy/overload/spillover.py
+++ b/balancer/policy/overload/spillover.py
@@ -7,10 +7,10 @@
 SPILLOVER_STEP = 0.025
 """Change of the ratio in a usual cycle, for a difference in delay as large as the overload threshold."""
 
-MIN_LEAD = -0.5
+MIN_DELAY_DIFFERENCE = -0.5
 """Lower bound of the difference in delay, in overload thresholds: the ratio falls slower than it rises."""
 
-MAX_LEAD = 2.0
+MAX_DELAY_DIFFERENCE = 2.0
 """Upper bound of the difference in delay, in overload thresholds, so that one cycle moves little traffic."""
 
 CONNECT_FAILURE_STEPS = 4
@@ -45,7 +45,7 @@
     def update(self, loads: ZoneLoads, overload_threshold: float, elapsed_ns: int) -> None:
         """Move the ratio by the difference in queueing delay, in proportion to the length of the cycle."""
         difference = loads.local.queueing_delay - loads.remote.queueing_delay
-        lead = (difference - self._cross_zone_price) / overload_threshold
+        normalized_difference = (difference - self._cross_zone_price) / overload_threshold
         step = SPILLOVER_STEP * elapsed_ns / CYCLE_NS
-        ratio = self.ratio + step * max(MIN_LEAD, min(MAX_LEAD, lead))
+        ratio = self.ratio + step * max(MIN_DELAY_DIFFERENCE, min(MAX_DELAY_DIFFERENCE, normalized_difference))
         self.ratio = min(1.0, max(0.0, ratio))
--- a/balancer/policy/requests/attempt_completions.py
+++ b/balancer/policy/requests/attempt_completions.py
@@ -43,9 +43,9 @@
             self._requests.pop(event.request_id, None)
             return
         if event.outcome not in api.OUTCOMES_NEVER_EXECUTED:
-            request.record_execution()
+            request.record_possible_execution()
         if self._retry.allows_retry(request, event.outcome, now_ns):
-            self._retry.spend()
+            self._retry.take_token()
             self._dispatcher.dispatch(request, self._router.choose(request, now_ns), now_ns)
         else:
-            self._dispatcher.give_final_answer(request, now_ns)
+            self._dispatcher.send_final_response(request, now_ns)
--- a/balancer/policy/requests/attempt_dispatcher.py
+++ b/balancer/policy/requests/attempt_dispatcher.py
@@ -34,7 +34,7 @@
     def dispatch(self, request: RequestState, endpoint: EndpointState | None, now_ns: int) -> None:
         """Start an attempt; without an endpoint for it give the request its final answer."""
         if endpoint is None:
-            self.give_final_answer(request, now_ns)
+            self.send_final_response(request, now_ns)
             return
         needs_connection = self._accounting.record_start(endpoint, now_ns)
         self._subsets.grow_in_burst(self._overload.is_overloaded)
@@ -48,9 +48,9 @@
                 start_before_ns=request.deduplicated_until_ns,
             )
         )
-        self._control_cycle.end_if_full(now_ns)
+        self._control_cycle.end_if_attempt_limit_reached(now_ns)
 
-    def give_final_answer(self, request: RequestState, now_ns: int) -> None:
+    def send_final_response(self, request: RequestState, now_ns: int) -> None:
         """Answer a request that nothing served, and forget it."""
         del self._requests[request.id]
-        self._actions.append(self._retry.final_answer(request, now_ns))
+        self._actions.append(self._retry.final_response(request, now_ns))
--- a/balancer/policy/requests/outcome_recorder.py
+++ b/balancer/policy/requests/outcome_recorder.py
@@ -56,7 +56,7 @@
             self._budget.record_connect_failure(now_ns)
         self._outliers.record_connection(endpoint, outcome, now_ns)
         is_timeout = outcome == AttemptOutcome.TIMEOUT
-        if is_timeout and self._overload.latency.is_too_short(request, event.duration_ns):
+        if is_timeout and self._overload.latency.is_timeout_too_short(request, event.duration_ns):
             self._overload.discard_attempt(endpoint)
             return
         failed = outcome != AttemptOutcome.SUCCESS
@@ -78,10 +78,10 @@
         """
         overload = self._overload
         if event.outcome == AttemptOutcome.SUCCESS:
-            endpoint.latency_ratio.record(overload.latency.record_answer(request, event.duration_ns))
+            endpoint.latency_ratio.record(overload.latency.record_latency(request, event.duration_ns))
             delay = min(MAX_DELAY, overload.latency.queueing_delay(request, event.duration_ns))
             overload.record_delay(endpoint, request, delay)
-            overload.queueing.record_answer(endpoint.zone)
+            overload.queueing.record_success(endpoint.zone)
         elif event.outcome in OVERLOAD_OUTCOMES and not endpoint.ejection.is_active(now_ns):
             overload.record_delay(endpoint, request, FAILURE_DELAY)
         else:
--- a/balancer/policy/requests/request_arrivals.py
+++ b/balancer/policy/requests/request_arrivals.py
@@ -43,11 +43,11 @@
         self._requests[request.id] = request
         self._overload.spillover.record_request(request_class)
         priority = self._admission.classify(event, now_ns)
-        if event.expires_at_ns <= now_ns or self._retry.is_useless_client_retry(event, now_ns):
-            self._dispatcher.give_final_answer(request, now_ns)
+        if event.expires_at_ns <= now_ns or self._retry.is_client_retry_too_late(event, now_ns):
+            self._dispatcher.send_final_response(request, now_ns)
         elif priority < self._admission.threshold:
             self._dispatcher.dispatch(request, self._router.choose_warming(request, now_ns), now_ns)
         else:
-            self._retry.record_admission()
+            self._retry.add_tokens()
             if not self._probe_rounds.start(request, now_ns):
                 self._dispatcher.dispatch(request, self._router.choose(request, now_ns), now_ns)
--- a/balancer/policy/requests/request_state.py
+++ b/balancer/policy/requests/request_state.py
@@ -16,7 +16,7 @@
     """The endpoints probed in all rounds."""
     rounds: int = 0
     """Rounds that were started."""
-    unanswered: int = 0
+    pending_count: int = 0
     """Probes that have not ended."""
     fastest: EndpointState | None = None
     """The endpoint whose answer exceeded the fastest known answer of its zone by the least time."""
@@ -26,11 +26,11 @@
     def add_endpoint(self, endpoint: EndpointState) -> None:
         """Record that an endpoint is probed."""
         self.endpoints.append(endpoint)
-        self.unanswered += 1
+        self.pending_count += 1
 
     def record_result(self) -> None:
         """Record that a probe ended, whatever its outcome."""
-        self.unanswered -= 1
+        self.pending_count -= 1
 
     def set_fastest(self, endpoint: EndpointState, duration_ns: int, is_remote: bool) -> None:
         """Set the endpoint that is to get the request."""
@@ -76,7 +76,7 @@
         "expires_at_ns",
         "id",
         "key_hash",
-        "may_run_again",
+        "is_safe_to_retry_anywhere",
         "objective_deadline_ns",
         "probe",
         "request_class",
@@ -92,7 +92,7 @@
         self.probe: LoadProbe | None = None
         self.attempt_count = 0
         self.attempt = AttemptState()
-        self.may_run_again = True
+        self.is_safe_to_retry_anywhere = True
         """Whether a further execution does no harm, at any endpoint and any time."""
         self.deduplication: DeduplicationBinding | None = None
 
@@ -120,7 +120,7 @@
         self.attempt = AttemptState(endpoint, needs_connection, now_ns)
         self.attempt_count += 1
 
-    def record_execution(self) -> None:
+    def record_possible_execution(self) -> None:
         """Record that the attempt may have been executed; without an attempt there is nothing to record.
 
         The first execution binds a request with an idempotency key to the endpoint's deduplication group.
@@ -129,7 +129,7 @@
         if endpoint is None:
             return
         idempotency = self.request_class.idempotency
-        self.may_run_again = idempotency == Idempotency.IDEMPOTENT
+        self.is_safe_to_retry_anywhere = idempotency == Idempotency.IDEMPOTENT
         if idempotency == Idempotency.IDEMPOTENCY_KEY and self.deduplication is None:
             until_ns = self.attempt.started_at_ns + self.request_class.deduplication_window_ns
             self.deduplication = DeduplicationBinding(endpoint, until_ns)
--- a/balancer/policy/requests/retry.py
+++ b/balancer/policy/requests/retry.py
@@ -7,13 +7,13 @@
 from balancer.policy_api import AttemptOutcome
 from balancer.time_units import SECOND_NS
 
-BUDGET_SHARE = 0.2
+TOKENS_PER_REQUEST = 0.2
 """Retries added to the budget per admitted request: retries add a fifth to the load at most."""
 
-MAX_BUDGET = 10.0
+BUCKET_CAPACITY = 10.0
 """Upper bound of the budget (retries): what is saved up must not become a burst."""
 
-INITIAL_BUDGET = 1.0
+INITIAL_TOKENS = 1.0
 """Budget at the start (retries), so that the first request may be retried."""
 
 RETRY_AFTER_NS = SECOND_NS
@@ -27,28 +27,28 @@
         self._settings = settings
         self._overload = overload
         self._load_probing = load_probing
-        self._longest_first_request_ns = [0] * len(settings.classes)
+        self._max_first_timeout_ns = [0] * len(settings.classes)
         """The most time that a client gave to a request that is not its retry, by class index."""
-        self.budget = INITIAL_BUDGET
+        self.tokens = INITIAL_TOKENS
 
-    def record_admission(self) -> None:
+    def add_tokens(self) -> None:
         """Add the share of an admitted request to the budget."""
-        self.budget = min(MAX_BUDGET, self.budget + BUDGET_SHARE)
+        self.tokens = min(BUCKET_CAPACITY, self.tokens + TOKENS_PER_REQUEST)
 
-    def spend(self) -> None:
+    def take_token(self) -> None:
         """Take a retry from the budget."""
-        self.budget -= 1
+        self.tokens -= 1
 
-    def is_useless_client_retry(self, event: api.RequestReceived, now_ns: int) -> bool:
+    def is_client_retry_too_late(self, event: api.RequestReceived, now_ns: int) -> bool:
         """Return whether a client's retry comes so late that its answer is worth nothing.
 
         The latency objective counts from the client's first request, which is estimated from the time left.
         """
         request_class = self._settings.classes[event.class_index]
         time_left_ns = event.expires_at_ns - now_ns
-        longest_ns = self._longest_first_request_ns[event.class_index]
+        longest_ns = self._max_first_timeout_ns[event.class_index]
         if not event.is_retry:
-            self._longest_first_request_ns[event.class_index] = max(longest_ns, time_left_ns)
+            self._max_first_timeout_ns[event.class_index] = max(longest_ns, time_left_ns)
             return False
         time_passed_ns = request_class.client_timeout_ns - time_left_ns
         is_late = time_left_ns < longest_ns and time_passed_ns >= request_class.latency_objective_ns
@@ -60,7 +60,7 @@
         The attempt is given up at the latency objective if a late answer is worth nothing, or if requests
         queue although the endpoint was probed.
         """
-        has_queues = self._load_probing.is_enabled and not self._overload.is_calm
+        has_queues = self._load_probing.is_enabled and not self._overload.has_low_queueing_delay
         if request.request_class.late_answer_value and not has_queues:
             return 0
         time_left_ns = request.objective_deadline_ns - now_ns
@@ -70,9 +70,9 @@
         """Return whether a further attempt is safe, within the budget, and in time to be useful."""
         if outcome in (AttemptOutcome.NOT_SENT, AttemptOutcome.CLIENT_ERROR):
             return False
-        if request.attempt_count >= self._settings.max_attempts or self.budget < 1:
+        if request.attempt_count >= self._settings.max_attempts or self.tokens < 1:
             return False
-        is_safe = request.may_run_again or now_ns < request.deduplicated_until_ns
+        is_safe = request.is_safe_to_retry_anywhere or now_ns < request.deduplicated_until_ns
         if not is_safe or now_ns >= request.expires_at_ns:
             return False
         # A failed connect cost the endpoint no work, so its retry is allowed during overload as well.
@@ -81,9 +81,9 @@
         baseline_ns = self._overload.latency.baselines_ns[request.class_index]
         return now_ns + baseline_ns < _useful_until_ns(request)
 
-    def final_answer(self, request: RequestState, now_ns: int) -> api.RejectRequest | api.FailRequest:
+    def final_response(self, request: RequestState, now_ns: int) -> api.RejectRequest | api.FailRequest:
         """Return the answer to a request that nothing served: rejected if a client's retry does no harm."""
-        if not request.may_run_again:
+        if not request.is_safe_to_retry_anywhere:
             return api.FailRequest(request.id)
         request_class = request.request_class
         is_late = not request_class.late_answer_value and now_ns >= request.objective_deadline_ns
--- a/balancer/policy/selection/probe_rounds.py
+++ b/balancer/policy/selection/probe_rounds.py
@@ -76,14 +76,14 @@
                 timer = api.SetTimer(FIRST_ANSWER_DELAY_NS, encode_probe_round(request_id))
                 self._actions.append(timer)
             self._load_probing.record_answer(probe, endpoint, duration_ns)
-        if not probe.unanswered and probe.fastest is not None:
+        if not probe.pending_count and probe.fastest is not None:
             self._end(request, now_ns)
 
     def _end(self, request: RequestState, now_ns: int) -> None:
         """Send a request to the fastest endpoint, or go on without an answer."""
         fastest = request.probe.fastest if request.probe else None
         if now_ns >= request.expires_at_ns:
-            self._dispatcher.give_final_answer(request, now_ns)
+            self._dispatcher.send_final_response(request, now_ns)
         elif fastest is not None and fastest.health == EndpointHealth.READY:
             self._dispatcher.dispatch(request, fastest, now_ns)
         elif not self.start(request, now_ns):
--- a/tests/policy/characterization_driver.py
+++ b/tests/policy/characterization_driver.py
@@ -63,7 +63,7 @@
 
 
 @dataclass
-class Instance:
+class DrivenSidecar:
     """One balancer and the requests that it holds."""
 
     balancer: Balancer
@@ -86,30 +86,30 @@
         self.event_count = 0
         self.action_counts = [0] * len(ACTION_TYPES)
         self.servers = PhasedServers(self.settings.zone_count, scenario.phases, self.random)
-        self.instances = [
-            Instance(Balancer(self.settings, scenario.seed * 100 + number))
+        self.sidecars = [
+            DrivenSidecar(Balancer(self.settings, scenario.seed * 100 + number))
             for number in range(scenario.balancer_count)
         ]
 
     def run(self) -> str:
         """Play the scenario and return the digest."""
-        for instance in self.instances:
-            self.handle(instance, Started())
-            self.handle(instance, EndpointUpdate(EndpointUpdateKind.CACHED, self.servers.entries))
-            self.events.schedule(0, partial(self.receive_request, instance))
+        for sidecar in self.sidecars:
+            self.handle(sidecar, Started())
+            self.handle(sidecar, EndpointUpdate(EndpointUpdateKind.CACHED, self.servers.entries))
+            self.events.schedule(0, partial(self.receive_request, sidecar))
         self.events.schedule(self.scenario.phase_ns, self.change_phase)
         while self.event_count < EVENT_COUNT:
             self.events.run_next()
         return self.digest.hexdigest()
 
-    def handle(self, instance: Instance, event: Event) -> None:
+    def handle(self, sidecar: DrivenSidecar, event: Event) -> None:
         """Deliver an event; digest the actions that answer it, then carry them out."""
         self.event_count += 1
-        actions = instance.balancer.handle(self.events.now_ns, event)
+        actions = sidecar.balancer.handle(self.events.now_ns, event)
         for action in actions:
             self.record(action)
         for action in actions:
-            self.carry_out(instance, action)
+            self.carry_out(sidecar, action)
 
     def record(self, action: Action) -> None:
         """Add an action to the digest."""
@@ -119,26 +119,26 @@
         line = f"{self.event_count} {self.events.now_ns} {code} {' '.join(values)}\n"
         self.digest.update(line.encode())
 
-    def carry_out(self, instance: Instance, action: Action) -> None:
+    def carry_out(self, sidecar: DrivenSidecar, action: Action) -> None:
         """Do what an action asks for."""
         if isinstance(action, StartAttempt):
-            self.start_attempt(instance, action)
+            self.start_attempt(sidecar, action)
         elif isinstance(action, RejectRequest | FailRequest):
-            instance.ledger.finish(action.request_id)
+            sidecar.ledger.finish(action.request_id)
         elif isinstance(action, CancelAttempt):
-            self.end_attempt(instance, action.request_id, action.attempt_index, AttemptOutcome.CANCELLED)
+            self.end_attempt(sidecar, action.request_id, action.attempt_index, AttemptOutcome.CANCELLED)
         elif isinstance(action, SetTimer):
-            self.deliver_later(instance, TimerFired(action.token), action.delay_ns)
+            self.deliver_later(sidecar, TimerFired(action.token), action.delay_ns)
         elif isinstance(action, WatchEndpoints):
-            self.events.schedule(30 * MILLISECOND_NS, partial(self.answer_watch, instance))
+            self.events.schedule(30 * MILLISECOND_NS, partial(self.respond_to_watch, sidecar))
         elif isinstance(action, StartHealthCheck):
-            self.answer_health_check(instance, action.endpoint_id)
+            self.respond_to_health_check(sidecar, action.endpoint_id)
         elif isinstance(action, SendGossip):
             self.deliver_gossip(action)
 
-    def deliver_later(self, instance: Instance, event: Event, delay_ns: int) -> None:
+    def deliver_later(self, sidecar: DrivenSidecar, event: Event, delay_ns: int) -> None:
         """Deliver an event after a delay."""
-        self.events.schedule(delay_ns, partial(self.handle, instance, event))
+        self.events.schedule(delay_ns, partial(self.handle, sidecar, event))
 
     # Servers, discovery and other sidecars.
 
@@ -146,55 +146,55 @@
         """Begin the next phase, and push what it changes of the endpoint list."""
         changed_entries = self.servers.change_phase(self.events.now_ns)
         if not self.settings.polls_discovery:
-            for instance in self.instances:
-                self.update_endpoints(instance, changed_entries)
+            for sidecar in self.sidecars:
+                self.update_endpoints(sidecar, changed_entries)
         self.events.schedule(self.scenario.phase_ns, self.change_phase)
 
-    def update_endpoints(self, instance: Instance, entries: list[Endpoint]) -> None:
+    def update_endpoints(self, sidecar: DrivenSidecar, entries: list[Endpoint]) -> None:
         """Send the whole endpoint list, or these entries if there are any."""
         if self.random.random() < 0.3:
             snapshot = EndpointUpdate(EndpointUpdateKind.SNAPSHOT, self.servers.present_entries)
-            self.handle(instance, snapshot)
+            self.handle(sidecar, snapshot)
         elif entries:
-            self.handle(instance, EndpointUpdate(EndpointUpdateKind.DELTA, tuple(entries)))
+            self.handle(sidecar, EndpointUpdate(EndpointUpdateKind.DELTA, tuple(entries)))
 
-    def answer_watch(self, instance: Instance) -> None:
+    def respond_to_watch(self, sidecar: DrivenSidecar) -> None:
         """Let a watch fail, or answer it and break it some time later, so that it has to be started anew."""
         failed = EndpointUpdate(EndpointUpdateKind.DISCOVERY_FAILED, ())
         if self.random.random() < 0.4:
-            self.handle(instance, failed)
+            self.handle(sidecar, failed)
             return
-        self.update_endpoints(instance, list(self.servers.entries))
-        self.deliver_later(instance, failed, self.random.randrange(4 * SECOND_NS))
+        self.update_endpoints(sidecar, list(self.servers.entries))
+        self.deliver_later(sidecar, failed, self.random.randrange(4 * SECOND_NS))
 
-    def answer_health_check(self, instance: Instance, identifier: EndpointId) -> None:
+    def respond_to_health_check(self, sidecar: DrivenSidecar, identifier: EndpointId) -> None:
         """Complete a health check when its server has replied."""
-        reply = self.servers.reply_to_health_check(identifier)
-        completed = HealthCheckCompleted(identifier, reply.outcome, reply.duration_ns, ())
-        self.deliver_later(instance, completed, reply.duration_ns)
+        response = self.servers.respond_to_health_check(identifier)
+        completed = HealthCheckCompleted(identifier, response.outcome, response.duration_ns, ())
+        self.deliver_later(sidecar, completed, response.duration_ns)
 
     def deliver_gossip(self, action: SendGossip) -> None:
         """Deliver gossip to its recipient, sometimes malformed."""
         payload = action.payload
         if self.random.random() < 0.05:
             payload = self.random.choice((payload[:-1], b"", self.random.randbytes(len(payload))))
-        recipient = self.instances[action.recipient_index % len(self.instances)]
+        recipient = self.sidecars[action.recipient_index % len(self.sidecars)]
         self.deliver_later(recipient, GossipReceived(0, payload), MILLISECOND_NS)
 
     # Clients, and the attempts for their requests.
 
-    def receive_request(self, instance: Instance) -> None:
+    def receive_request(self, sidecar: DrivenSidecar) -> None:
         """Deliver a request, schedule the next one, and have a few clients leave."""
         load_factor = 2.0 if self.servers.phase == Phase.OVERLOAD else 1.0
         rate_per_second = self.scenario.requests_per_second * load_factor
         next_delay_ns = int(self.random.expovariate(rate_per_second) * SECOND_NS)
-        self.events.schedule(next_delay_ns, partial(self.receive_request, instance))
+        self.events.schedule(next_delay_ns, partial(self.receive_request, sidecar))
         event = self.draw_request()
-        instance.ledger.receive(event.request_id, OpenRequest(event.class_index, event.expires_at_ns))
-        self.handle(instance, event)
+        sidecar.ledger.receive(event.request_id, OpenRequest(event.class_index, event.expires_at_ns))
+        self.handle(sidecar, event)
         if self.random.random() < 0.02:
             delay_ns = self.random.randrange(100 * MILLISECOND_NS)
-            self.events.schedule(delay_ns, partial(self.detach_request, instance, event.request_id))
+            self.events.schedule(delay_ns, partial(self.waive_final_response, sidecar, event.request_id))
 
     def draw_request(self) -> RequestReceived:
         """Draw the next request; some are retries, and some have little time left."""
@@ -215,21 +215,21 @@
             is_retry=is_retry,
         )
 
-    def detach_request(self, instance: Instance, request_id: int) -> None:
+    def waive_final_response(self, sidecar: DrivenSidecar, request_id: int) -> None:
         """Let the client of an open request leave, or its answer begin to stream."""
-        request = instance.ledger.requests.get(request_id)
+        request = sidecar.ledger.requests.get(request_id)
         if request is None or request.is_answered:
             return
-        instance.ledger.finish(request_id)
+        sidecar.ledger.finish(request_id)
         disconnects = self.random.random() < 0.7
         event = ClientDisconnected(request_id) if disconnects else StreamStarted(request_id)
-        self.handle(instance, event)
+        self.handle(sidecar, event)
 
-    def start_attempt(self, instance: Instance, action: StartAttempt) -> None:
+    def start_attempt(self, sidecar: DrivenSidecar, action: StartAttempt) -> None:
         """Start an attempt, and schedule its end by its server or by its timeout."""
-        request = instance.ledger.requests[action.request_id]
-        attempt = instance.ledger.start_attempt(action, self.events.now_ns)
-        outcome, duration_ns = self.servers.reply_to_attempt(action.endpoint_id, request.class_index)
+        request = sidecar.ledger.requests[action.request_id]
+        attempt = sidecar.ledger.start_attempt(action, self.events.now_ns)
+        outcome, duration_ns = self.servers.respond_to_attempt(action.endpoint_id, request.class_index)
         time_left_ns = request.expires_at_ns - self.events.now_ns
         timeout_ns = min(action.timeout_ns or time_left_ns, time_left_ns)
         if duration_ns > timeout_ns:
@@ -238,14 +238,14 @@
         elif self.random.random() < 0.005:
             outcome = AttemptOutcome.NOT_SENT
             duration_ns = 0
-        end = partial(self.end_attempt, instance, action.request_id, attempt.index, outcome)
+        end = partial(self.end_attempt, sidecar, action.request_id, attempt.index, outcome)
         self.events.schedule(duration_ns, end)
 
     def end_attempt(
-        self, instance: Instance, request_id: int, attempt_index: int, outcome: AttemptOutcome
+        self, sidecar: DrivenSidecar, request_id: int, attempt_index: int, outcome: AttemptOutcome
     ) -> None:
         """End an attempt, unless it has ended before."""
-        attempt = instance.ledger.attempt_of(request_id)
+        attempt = sidecar.ledger.attempt_of(request_id)
         if attempt is None or attempt.index != attempt_index:
             return
-        self.handle(instance, instance.ledger.end_attempt(request_id, outcome, self.events.now_ns))
+        self.handle(sidecar, sidecar.ledger.end_attempt(request_id, outcome, self.events.now_ns))
--- a/tests/policy/characterization_scenarios.py
+++ b/tests/policy/characterization_scenarios.py
@@ -12,10 +12,10 @@
 class Phase(StrEnum):
     """What is wrong with the servers for a while. All but the first two concern some of them only."""
 
-    CALM = "calm"
+    STEADY_STATE = "calm"
     OVERLOAD = "overload"
     SLOW = "slow"
-    ERRING = "erring"
+    SERVER_ERRORS = "erring"
     UNREACHABLE = "unreachable"
     RESETS = "resets"
     REJECTING = "rejecting"
@@ -23,7 +23,7 @@
     """The requests of the first class are never answered."""
     RESTART = "restart"
     DRAIN = "drain"
-    SILENT = "silent"
+    UNRESPONSIVE = "silent"
 
 
 ALL_PHASES = tuple(Phase)
--- a/tests/policy/execution_invariants.py
+++ b/tests/policy/execution_invariants.py
@@ -36,11 +36,11 @@
             self.first_execution = PossibleExecution(attempt.endpoint_id, attempt.started_at_ns)
 
 
-def check_repetition(
+def check_retry_is_safe(
     request_class: RequestClass,
     first_execution: PossibleExecution,
     first: Endpoint,
-    repeated: Endpoint,
+    retried: Endpoint,
     now_ns: int,
 ) -> None:
     """Check that a second execution does no harm: it is idempotent, or dropped as a duplicate."""
@@ -49,9 +49,9 @@
     assert request_class.idempotency == Idempotency.IDEMPOTENCY_KEY
     assert now_ns - first_execution.started_at_ns < request_class.deduplication_window_ns
     if request_class.deduplication_scope != DeduplicationScope.ALL:
-        assert first.zone == repeated.zone
+        assert first.zone == retried.zone
     if request_class.deduplication_scope == DeduplicationScope.CELL:
-        assert first.cell == repeated.cell
+        assert first.cell == retried.cell
 
 
 def check_client_may_retry(request_class: RequestClass) -> None:
--- a/tests/policy/fleet_servers.py
+++ b/tests/policy/fleet_servers.py
@@ -20,7 +20,7 @@
 
 
 @dataclass
-class Server:
+class AccountServer:
     """A server with a first-in first-out queue in front of its cores."""
 
     number: int
--- a/tests/policy/fleet_sidecar.py
+++ b/tests/policy/fleet_sidecar.py
@@ -30,7 +30,7 @@
 from balancer.time_units import MILLISECOND_NS, SECOND_NS
 from tests.builders import request_received
 from tests.policy.event_queue import Callback, EventQueue
-from tests.policy.fleet_servers import QueuedWork, Server
+from tests.policy.fleet_servers import QueuedWork, AccountServer
 from tests.policy.request_ledger import OpenRequest, RequestLedger
 
 HANDSHAKE_WORK_NS = 25 * MILLISECOND_NS
@@ -70,8 +70,8 @@
     settings: Settings
     events: EventQueue
     random: Random
-    servers: list[Server]
-    server_by_id: dict[EndpointId, Server]
+    servers: list[AccountServer]
+    server_by_id: dict[EndpointId, AccountServer]
     client_timeout_ns: int
 
     def next_request_id(self) -> int: ...
@@ -117,8 +117,8 @@
             self._events.schedule(self._hop_ns, partial(self._end, AttemptOutcome.REJECTED))
             return
         succeed = partial(self._end, AttemptOutcome.SUCCESS)
-        return_answer = partial(self._events.schedule, self._hop_ns, succeed)
-        self._start_work(self._client_try.client_request.work_ns, return_answer)
+        return_response = partial(self._events.schedule, self._hop_ns, succeed)
+        self._start_work(self._client_try.client_request.work_ns, return_response)
 
     def _end(self, outcome: AttemptOutcome) -> None:
         """Return the connection and report the outcome, unless the sidecar no longer waits for it."""
@@ -187,7 +187,7 @@
         self.ledger.receive(request_id, client_try)
         self.handle(request_received(request_id, expires_at_ns, key_hash=client_request.key_hash))
 
-    def take_connection(self, server: Server) -> bool:
+    def take_connection(self, server: AccountServer) -> bool:
         """Take an idle connection to a server, if there is one that has not timed out."""
         now_ns = self.fleet.events.now_ns
         idle = self.idle_since_ns[server.id]
--- a/tests/policy/fleet_simulation.py
+++ b/tests/policy/fleet_simulation.py
@@ -16,7 +16,7 @@
 from balancer.time_units import MILLISECOND_NS, SECOND_NS
 from tests.builders import START_NS
 from tests.policy.event_queue import Callback, EventQueue
-from tests.policy.fleet_servers import Server
+from tests.policy.fleet_servers import AccountServer
 from tests.policy.fleet_sidecar import ClientRequest, SimulatedSidecar
 
 
@@ -24,7 +24,7 @@
     """Sidecars, servers and clients, and the queue of what is to happen next."""
 
     def __init__(
-        self, settings: Settings, sidecar_count: int, servers: Iterable[Server], seed: int = 1
+        self, settings: Settings, sidecar_count: int, servers: Iterable[AccountServer], seed: int = 1
     ) -> None:
         self.settings = settings
         self.random = random.Random(seed)
@@ -64,7 +64,7 @@
             self._add_request(seconds, work_ns, keys)
             seconds += self.random.expovariate(rate_per_second)
 
-    def restart_servers(self, servers: Iterable[Server]) -> None:
+    def restart_servers(self, servers: Iterable[AccountServer]) -> None:
         """Restart servers; all sidecars learn of it at once."""
         restarted = list(servers)
         for server in restarted:
--- a/tests/policy/invariant_checker.py
+++ b/tests/policy/invariant_checker.py
@@ -25,7 +25,7 @@
     TimerFired,
 )
 from tests.builders import START_NS, attempt_completed
-from tests.policy.execution_invariants import CheckedRequest, check_client_may_retry, check_repetition
+from tests.policy.execution_invariants import CheckedRequest, check_client_may_retry, check_retry_is_safe
 from tests.policy.listed_endpoints import ListedEndpoints
 from tests.policy.request_ledger import RequestLedger
 
@@ -46,7 +46,7 @@
         self.balancer = Balancer(settings, seed)
         self.now_ns = START_NS
         self.entries: dict[EndpointId, Endpoint] = {}
-        self.final_answer_count = 0
+        self.final_response_count = 0
         self._next_request_id = 1000
         self._begin_process()
 
@@ -106,7 +106,7 @@
         request.record_outcome(request.attempt, outcome)
         self.handle(self.ledger.end_attempt(request_id, outcome, self.now_ns))
 
-    def detach(
+    def waive_final_response(
         self, request_id: int, event: ClientDisconnected | StreamStarted, outcome: AttemptOutcome
     ) -> None:
         """Deliver an event after which no final answer is owed, then the end of the attempt."""
@@ -154,11 +154,11 @@
         assert request.attempt_count < self.settings.max_attempts
         self.listed.check_may_be_used(attempt.endpoint_id, self.now_ns)
         if request.first_execution is not None:
-            check_repetition(
+            check_retry_is_safe(
                 self.settings.classes[request.class_index],
                 request.first_execution,
                 first=self.entries[request.first_execution.endpoint_id],
-                repeated=self.entries[attempt.endpoint_id],
+                retried=self.entries[attempt.endpoint_id],
                 now_ns=self.now_ns,
             )
         self.ledger.start_attempt(attempt, self.now_ns)
@@ -173,7 +173,7 @@
         """Check a final answer: it is the only one, and no attempt is in flight."""
         request = self.ledger.finish(request_id)  # a second final answer would find nothing
         assert request.attempt is None
-        self.final_answer_count += 1
+        self.final_response_count += 1
         return request
 
     def _check_health_check(self, health_check: StartHealthCheck) -> None:
--- a/tests/policy/invariant_steps.py
+++ b/tests/policy/invariant_steps.py
@@ -81,7 +81,7 @@
     def apply(self, checker: InvariantChecker) -> None:
         if in_flight := checker.requests_in_flight():
             request_id = in_flight[self.choice % len(in_flight)]
-            checker.detach(request_id, ClientDisconnected(request_id), AttemptOutcome.CANCELLED)
+            checker.waive_final_response(request_id, ClientDisconnected(request_id), AttemptOutcome.CANCELLED)
 
 
 @dataclass(frozen=True)
@@ -91,7 +91,7 @@
     def apply(self, checker: InvariantChecker) -> None:
         if in_flight := checker.requests_in_flight():
             request_id = in_flight[self.choice % len(in_flight)]
-            checker.detach(request_id, StreamStarted(request_id), AttemptOutcome.CONNECTION_RESET)
+            checker.waive_final_response(request_id, StreamStarted(request_id), AttemptOutcome.CONNECTION_RESET)
 
 
 @dataclass(frozen=True)
--- a/tests/policy/phased_servers.py
+++ b/tests/policy/phased_servers.py
@@ -14,17 +14,17 @@
 AFFECTED_COUNTS = (2, 4, 8)
 """How many servers a phase may affect."""
 HEALTH_CHECK_FAILURES = (AttemptOutcome.TIMEOUT, AttemptOutcome.REJECTED, AttemptOutcome.CONNECT_FAILED)
-PHASES_THAT_FAIL_HEALTH_CHECKS = (Phase.UNREACHABLE, Phase.SILENT, Phase.REJECTING)
+PHASES_THAT_FAIL_HEALTH_CHECKS = (Phase.UNREACHABLE, Phase.UNRESPONSIVE, Phase.REJECTING)
 
 
-class ServerReply(NamedTuple):
+class ServerResponse(NamedTuple):
     """What becomes of an attempt or a health check, and after which time if nobody ends it before."""
 
     outcome: AttemptOutcome
     duration_ns: int
 
 
-NO_REPLY = ServerReply(AttemptOutcome.SUCCESS, 60 * SECOND_NS)
+NO_RESPONSE = ServerResponse(AttemptOutcome.SUCCESS, 60 * SECOND_NS)
 """A reply after any client has given up."""
 
 
@@ -41,7 +41,7 @@
             number: _initial_entry(number, zone_count) for number in range(1, SERVER_COUNT + 1)
         }
         self._affected_ids: set[EndpointId] = set()
-        self.phase = Phase.CALM
+        self.phase = Phase.STEADY_STATE
 
     @property
     def entries(self) -> tuple[Endpoint, ...]:
@@ -68,24 +68,24 @@
                 changed_entries.append(changed)
         return changed_entries
 
-    def reply_to_attempt(self, identifier: EndpointId, class_index: int) -> ServerReply:
+    def respond_to_attempt(self, identifier: EndpointId, class_index: int) -> ServerResponse:
         """Draw what becomes of an attempt."""
         usual_ns = int(self._random.expovariate(1) * 30 * MILLISECOND_NS) + 5 * MILLISECOND_NS
         if self.phase == Phase.OVERLOAD:
             usual_ns *= 8
             if self._random.random() < 0.3:
-                return ServerReply(AttemptOutcome.REJECTED, usual_ns // 4)
+                return ServerResponse(AttemptOutcome.REJECTED, usual_ns // 4)
         if identifier in self._affected_ids:
-            return self._reply_of_affected_server(class_index, usual_ns)
+            return self._response_of_affected_server(class_index, usual_ns)
         is_success = self._random.random() < 0.99
-        return ServerReply(AttemptOutcome.SUCCESS if is_success else AttemptOutcome.SERVER_ERROR, usual_ns)
+        return ServerResponse(AttemptOutcome.SUCCESS if is_success else AttemptOutcome.SERVER_ERROR, usual_ns)
 
-    def reply_to_health_check(self, identifier: EndpointId) -> ServerReply:
+    def respond_to_health_check(self, identifier: EndpointId) -> ServerResponse:
         """Draw what becomes of a health check."""
         duration_ns = self._random.randrange(1 * MILLISECOND_NS, 8 * MILLISECOND_NS)
         if identifier in self._affected_ids and self.phase in PHASES_THAT_FAIL_HEALTH_CHECKS:
-            return ServerReply(self._random.choice(HEALTH_CHECK_FAILURES), 100 * MILLISECOND_NS)
-        return ServerReply(AttemptOutcome.SUCCESS, duration_ns)
+            return ServerResponse(self._random.choice(HEALTH_CHECK_FAILURES), 100 * MILLISECOND_NS)
+        return ServerResponse(AttemptOutcome.SUCCESS, duration_ns)
 
     def _entry_in_phase(self, entry: Endpoint, now_ns: int) -> Endpoint | None:
         """Return the entry of a server as it is in the phase that begins, or None if it stays."""
@@ -98,23 +98,23 @@
             return entry._replace(started_at_ns=now_ns, health=EndpointHealth.READY)
         return None
 
-    def _reply_of_affected_server(self, class_index: int, usual_ns: int) -> ServerReply:
-        reply_by_phase = {
-            Phase.SLOW: ServerReply(AttemptOutcome.SUCCESS, usual_ns * 6),
-            Phase.UNREACHABLE: ServerReply(AttemptOutcome.CONNECT_FAILED, 1 * MILLISECOND_NS),
-            Phase.REJECTING: ServerReply(AttemptOutcome.REJECTED, 1 * MILLISECOND_NS),
-            Phase.SILENT: NO_REPLY,
+    def _response_of_affected_server(self, class_index: int, usual_ns: int) -> ServerResponse:
+        response_by_phase = {
+            Phase.SLOW: ServerResponse(AttemptOutcome.SUCCESS, usual_ns * 6),
+            Phase.UNREACHABLE: ServerResponse(AttemptOutcome.CONNECT_FAILED, 1 * MILLISECOND_NS),
+            Phase.REJECTING: ServerResponse(AttemptOutcome.REJECTED, 1 * MILLISECOND_NS),
+            Phase.UNRESPONSIVE: NO_RESPONSE,
         }
-        if self.phase in reply_by_phase:
-            return reply_by_phase[self.phase]
+        if self.phase in response_by_phase:
+            return response_by_phase[self.phase]
         if self.phase == Phase.HANGING_CLASS and class_index == 0:
-            return NO_REPLY
-        if self.phase == Phase.ERRING and self._random.random() < 0.8:
-            return ServerReply(AttemptOutcome.SERVER_ERROR, 2 * MILLISECOND_NS)
+            return NO_RESPONSE
+        if self.phase == Phase.SERVER_ERRORS and self._random.random() < 0.8:
+            return ServerResponse(AttemptOutcome.SERVER_ERROR, 2 * MILLISECOND_NS)
         if self.phase == Phase.RESETS and self._random.random() < 0.5:
-            return ServerReply(AttemptOutcome.CONNECTION_RESET, usual_ns)
+            return ServerResponse(AttemptOutcome.CONNECTION_RESET, usual_ns)
         outcomes = (*[AttemptOutcome.SUCCESS] * 3, AttemptOutcome.CLIENT_ERROR)
-        return ServerReply(self._random.choice(outcomes), usual_ns)
+        return ServerResponse(self._random.choice(outcomes), usual_ns)
 
 
 def _initial_entry(number: int, zone_count: int) -> Endpoint:
--- a/tests/policy/test_arrival_histogram.py
+++ b/tests/policy/test_arrival_histogram.py
@@ -22,8 +22,8 @@
     ranges = histogram.level_ranges()
     assert [level_range.first_level for level_range in ranges] == list(range(USER_LEVELS))
     assert all(level_range.level_count == 1 for level_range in ranges)
-    assert ranges[5].mass == 1 + 1 / USER_LEVELS
-    assert sum(level_range.mass for level_range in ranges) == pytest.approx(2.0)
+    assert ranges[5].arrival_count == 1 + 1 / USER_LEVELS
+    assert sum(level_range.arrival_count for level_range in ranges) == pytest.approx(2.0)
 
 
 def test_old_arrivals_decay_until_their_level_is_dropped() -> None:
--- a/tests/policy/test_fleet.py
+++ b/tests/policy/test_fleet.py
@@ -11,7 +11,7 @@
 
 from balancer.time_units import MILLISECOND_NS, SECOND_NS
 from tests.builders import request_class, settings
-from tests.policy.fleet_servers import Server
+from tests.policy.fleet_servers import AccountServer
 from tests.policy.fleet_simulation import FleetSimulation
 
 WORK_NS = 100 * MILLISECOND_NS
@@ -47,7 +47,7 @@
     ONE_SERVER_IN_THREE_ZONES = "one server in three zones"
 
 
-def peak_budget_share(fleet: FleetSimulation, server: Server) -> float:
+def peak_budget_share(fleet: FleetSimulation, server: AccountServer) -> float:
     """Return the most attempts in any window while a server warms up, as a share of its budget.
 
     The budget is the multiple of its capacity that the settings allow, with a little for chance.
@@ -66,10 +66,10 @@
     return peak
 
 
-def simulate_restart(case: RestartCase, sidecar_count: int) -> tuple[FleetSimulation, list[Server]]:
+def simulate_restart(case: RestartCase, sidecar_count: int) -> tuple[FleetSimulation, list[AccountServer]]:
     """Load twelve servers with seven tenths of their capacity; some restart after four seconds."""
     zone_count = 3 if case == RestartCase.ONE_SERVER_IN_THREE_ZONES else 1
-    servers = [Server(number, zone=number % zone_count, connection_limit=200) for number in range(1, 13)]
+    servers = [AccountServer(number, zone=number % zone_count, connection_limit=200) for number in range(1, 13)]
     config = replace(RESTART_SETTINGS, zone_count=zone_count)
     fleet = FleetSimulation(config, sidecar_count, servers, seed=sidecar_count)
     restarted = {
@@ -97,7 +97,7 @@
 @pytest.mark.parametrize("seed", [1, 2])
 def test_fleet_recovers_from_a_burst_within_its_connection_limits(seed: int) -> None:
     """With keys and grown subsets each sidecar could reach each server and fill the connection tables."""
-    fleet = FleetSimulation(BURST_SETTINGS, 90, [Server(number) for number in range(1, 41)], seed)
+    fleet = FleetSimulation(BURST_SETTINGS, 90, [AccountServer(number) for number in range(1, 41)], seed)
     fleet.client_retries = 1
     usual_rate = 0.7 * 40 * 3 / 0.1
     fleet.add_load(0, 4, rate_per_second=usual_rate, work_ns=WORK_NS, keys=KEYS)
--- a/tests/policy/test_invariants.py
+++ b/tests/policy/test_invariants.py
@@ -74,4 +74,4 @@
     ]
     checker = run_steps(config, [*steps, AdvanceClock(5000)])
     assert not checker.ledger.requests
-    assert checker.final_answer_count > 50
+    assert checker.final_response_count > 50
--- a/tests/policy/test_overload.py
+++ b/tests/policy/test_overload.py
@@ -161,7 +161,7 @@
         QueueingEvidence(delay_sum=30.0, sample_count=30.0, attempt_count=30.0, answer_count=10.0),
     ]
     detector.spillover.ratio = 0.0
-    harness.balancer.control_cycle.adjust_load(harness.now_ns)
+    harness.balancer.control_cycle.update_admission_and_spillover(harness.now_ns)
     assert (harness.threshold > 0) is sheds
 
 
@@ -180,12 +180,12 @@
         delay_sum=20.0, sample_count=20.0, attempt_count=10.0, answer_count=20.0
     )
     balancer.admission.arrivals.keyless[0] = 100.0
-    balancer.control_cycle.adjust_load(harness.now_ns)
+    balancer.control_cycle.update_admission_and_spillover(harness.now_ns)
     assert harness.threshold == 0
     balancer.overload.queueing.evidence[0] = QueueingEvidence(
         delay_sum=20.0, sample_count=20.0, attempt_count=20.0, answer_count=10.0
     )
-    balancer.control_cycle.adjust_load(harness.now_ns)
+    balancer.control_cycle.update_admission_and_spillover(harness.now_ns)
     assert harness.threshold > 0
 
 
--- a/tests/policy/test_retry.py
+++ b/tests/policy/test_retry.py
@@ -86,9 +86,9 @@
         harness.now_ns += 5 * MILLISECOND_NS
         answer = harness.complete(attempt, AttemptOutcome.SERVER_ERROR, 5 * MILLISECOND_NS)
         retries += len(actions_of(StartAttempt, answer))
-    assert 0 < retries <= 200 * retry.BUDGET_SHARE + retry.MAX_BUDGET + 1
+    assert 0 < retries <= 200 * retry.TOKENS_PER_REQUEST + retry.BUCKET_CAPACITY + 1
     harness.balancer.overload.queueing_delay = 9.0
-    harness.balancer.retry.budget = 5.0
+    harness.balancer.retry.tokens = 5.0
     assert not actions_of(StartAttempt, harness.complete(harness.start_attempt(), AttemptOutcome.TIMEOUT))
 
 
--- a/tests/policy/test_spillover.py
+++ b/tests/policy/test_spillover.py
@@ -27,14 +27,14 @@
         QueueingEvidence(delay_sum=6.0, sample_count=10.0, attempt_count=10.0, answer_count=10.0),
         QueueingEvidence(delay_sum=0.0, sample_count=10.0, attempt_count=10.0, answer_count=10.0),
     ]
-    balancer.control_cycle.adjust_load(harness.now_ns + SECOND_NS)
+    balancer.control_cycle.update_admission_and_spillover(harness.now_ns + SECOND_NS)
     raised_ratio = balancer.overload.spillover.ratio
     assert 0 < raised_ratio < 0.5
     balancer.overload.queueing.evidence = [
         QueueingEvidence(delay_sum=1.0, sample_count=10.0, attempt_count=10.0, answer_count=10.0),
         QueueingEvidence(delay_sum=3.0, sample_count=10.0, attempt_count=10.0, answer_count=10.0),
     ]
-    balancer.control_cycle.adjust_load(harness.now_ns + SECOND_NS)
+    balancer.control_cycle.update_admission_and_spillover(harness.now_ns + SECOND_NS)
     assert balancer.overload.spillover.ratio < raised_ratio
 
 
