--- a/balancer/policy/overload/arrival_histogram.py
+++ b/balancer/policy/overload/arrival_histogram.py
@@ -1,18 +1,18 @@
-"""The histogram of arriving requests over the priority levels."""
+"""The histogram of arriving requests over the priority levels. Older arrivals count less in it."""
 
 from typing import NamedTuple
 
 from balancer.policy.overload.priority_levels import USER_LEVELS
 
 HISTOGRAM_DECAY = 0.9
-"""Share of the arrivals that is kept from cycle to cycle: a memory of about 2.5 s."""
+"""Share of the arrivals that is kept from cycle to cycle: a time constant of about 2.5 s."""
 
 MIN_LEVEL_COUNT = 0.02
-"""Number of arrivals at or below which a level is dropped, to bound the size of the histogram."""
+"""Number of arrivals, decayed, at or below which a level is dropped, to bound the size of the histogram."""
 
 
 class LevelRange(NamedTuple):
-    """The arrivals on adjacent levels, evenly distributed over them."""
+    """The arrivals on adjacent levels, which count as evenly distributed over them."""
 
     first_level: int
     level_count: int
@@ -34,12 +34,13 @@
 
 
 class ArrivalHistogram:
-    """Counts the arrivals: those with keys by level, the others by business level."""
+    """Counts the arrivals: requests with a key by level, requests without one by business level."""
 
     def __init__(self, business_level_count: int) -> None:
         self._keyed: dict[int, float] = {}
-        # One sidecar sees few user levels of requests without keys, but the fleet sees all of them evenly.
-        self.keyless = [0.0] * business_level_count  # shared with other sidecars
+        # At one sidecar the requests without keys are on few user levels, but over the fleet they are on all
+        # of them evenly. So they are counted by business level, and gossip shares the counts.
+        self.keyless = [0.0] * business_level_count
 
     def record_keyed(self, level: int) -> None:
         """Count an arrival with a key."""
@@ -50,17 +51,18 @@
         self.keyless[business_level] += 1
 
     def end_cycle(self) -> None:
-        """Let older arrivals decay."""
+        """Reduce the weight of older arrivals, and drop levels with almost none."""
         self._keyed = {
             level: arrival_count * HISTOGRAM_DECAY for level, arrival_count in self._keyed.items() if arrival_count > MIN_LEVEL_COUNT
         }
         self.keyless = [arrival_count * HISTOGRAM_DECAY for arrival_count in self.keyless]
 
     def level_ranges(self) -> list[LevelRange]:
-        """Return the arrivals as ranges of levels, in order.
+        """Return the arrivals as disjoint ranges of levels, in order.
 
-        The ranges are disjoint: where two overlapped, a threshold that passes them one after the other would
-        move too far. Arrivals without keys are therefore distributed over single levels where there are keys.
+        A threshold passes the ranges one after the other, so it would move too far where two overlapped. In a
+        business level that has arrivals with keys, those without keys are therefore distributed over single
+        levels.
         """
         count_by_level = dict(self._keyed)
         keyed_business_levels = {level // USER_LEVELS for level in self._keyed}
--- a/balancer/policy/overload/control_cycle.py
+++ b/balancer/policy/overload/control_cycle.py
@@ -1,6 +1,7 @@
-"""The control cycle: a period of the overload control, after which admission is adjusted.
+"""The control cycle: one run of the overload control, which adjusts admission and spillover.
 
-It ends with a periodic timer, or earlier after a number of attempts, as in DAGOR.
+It runs when a periodic timer fires, or earlier after a number of attempts, as in DAGOR. It ends the measurement
+cycle, unless that has too few samples and is extended.
 """
 
 from balancer import policy_api as api
@@ -14,7 +15,7 @@
 
 
 class ControlCycle:
-    """Ends control cycles: samples the load, adjusts admission and spillover, and shares the evidence."""
+    """Samples the load, adjusts admission and spillover, and shares the evidence with other sidecars."""
 
     def __init__(
         self,
@@ -35,12 +36,15 @@
         self._running_attempts = running_attempts
 
     def end_if_attempt_limit_reached(self, now_ns: int) -> None:
-        """End the cycle when its attempts reach the limit, or a multiple of it if samples were too few."""
+        """End the measurement cycle if its attempts have reached the limit.
+
+        If there were too few samples then, each further multiple of the limit tries again.
+        """
         if self._overload.cycle.attempt_count % MAX_ATTEMPTS_PER_CYCLE == 0:
             self.end(now_ns)
 
     def end(self, now_ns: int) -> None:
-        """Adjust to the evidence of the cycle and begin the next one; wait if there are too few samples."""
+        """Adjust to the evidence and begin the next measurement cycle, or extend it to get more samples."""
         self._running_attempts.sample_all(now_ns)
         if self._overload.should_extend_cycle(now_ns):
             self._actions += self._gossip.share()
--- a/balancer/policy/overload/detector.py
+++ b/balancer/policy/overload/detector.py
@@ -1,6 +1,7 @@
 """Overload detection: whether the queueing delay at the endpoints is above an adaptive threshold.
 
-Latencies, queueing delays, the measurement cycle and the spillover to other zones have modules of their own.
+The detector combines the latencies, the queueing delays, the measurement cycle and the spillover to other
+zones, each of which has its own module.
 """
 
 from balancer.policy.endpoints.endpoint_state import EndpointState
@@ -12,23 +13,26 @@
 from balancer.policy_api import Settings
 
 MIN_SAMPLES = 3.0
-"""Number of samples that an estimate needs, so that a single late answer is no overload."""
+"""Number of samples that an estimate needs, so that a single late response does not count as overload."""
 
 MIN_SAMPLES_WITH_GOSSIP = 0.5
-"""The same with gossip, where the samples stand for those of many sidecars."""
+"""Number of samples that an estimate needs with gossip, where they stand for samples of many sidecars."""
 
 MIN_THRESHOLD = 0.1
 """Least mean queueing delay that counts as overload, as a share of the slack."""
 
 BASELINE_MULTIPLE = 1.5
-"""Multiple of the baseline added to the threshold: few cores queue that much at ordinary load."""
+"""Multiple of the baseline in the threshold: endpoints with few cores queue that much at ordinary load."""
 
 MAX_BASELINE_SHARE = 0.25
-"""Bound of the baseline in the threshold, as a share of the slack: in overload at the start none is known."""
+"""Upper bound of the baseline in the threshold (share of the slack).
+
+The threshold starts with it, because no baseline is known if the sidecar starts during overload.
+"""
 
 
 class OverloadDetector:
-    """Gathers the evidence of a measurement cycle and estimates the queueing delay at its end."""
+    """Collects the evidence of a measurement cycle and estimates the queueing delay at its end."""
 
     def __init__(self, settings: Settings) -> None:
         self.cycle = MeasurementCycle()
@@ -37,11 +41,11 @@
         self.spillover = CrossZoneSpillover(settings)
         self._min_samples = MIN_SAMPLES_WITH_GOSSIP if settings.gossip_enabled else MIN_SAMPLES
         self.queueing_delay = 0.0
-        """By the last estimate, as a share of the slack."""
+        """Queueing delay of the last estimate, as a share of the slack."""
         self.response_ratio = 1.0
-        """Answers per attempt by the last estimate."""
+        """Successful responses per attempt of the last estimate."""
         self.threshold = _delay_threshold(MAX_BASELINE_SHARE)
-        """Queueing delay above which the endpoints are overloaded."""
+        """Queueing delay (share of the slack) above which the endpoints are overloaded."""
 
     @property
     def is_overloaded(self) -> bool:
@@ -59,7 +63,7 @@
         self.queueing.record_attempt(endpoint.zone)
 
     def discard_attempt(self, endpoint: EndpointState) -> None:
-        """Remove an attempt that turned out to say nothing about load."""
+        """Uncount an attempt whose outcome says nothing about load."""
         self.queueing.discard_attempt(endpoint.zone)
 
     def record_delay(self, endpoint: EndpointState, request: RequestState, delay: float) -> None:
@@ -67,7 +71,7 @@
         self.queueing.record_delay(endpoint, request, delay)
 
     def should_extend_cycle(self, now_ns: int) -> bool:
-        """Return whether there are too few samples yet, and the cycle may be extended to gather more."""
+        """Return whether there are too few samples and the cycle may be extended to collect more."""
         return self.cycle.may_be_extended(now_ns) and self.queueing.sample_count < self._min_samples
 
     def update_estimate(self, has_remote: bool, now_ns: int) -> None:
@@ -79,11 +83,11 @@
             self.spillover.update(loads, self.threshold, self.cycle.elapsed_ns(now_ns))
 
     def discount_attempts(self, rejected_share: float) -> None:
-        """Count the attempts as if this share of the traffic had been shed from the beginning."""
+        """Reduce the counts of attempts as if this share of the traffic had been rejected all along."""
         self.queueing.discount_attempts(rejected_share)
 
     def end_cycle(self, now_ns: int) -> None:
-        """Update baselines and threshold, let older evidence decay, and begin the next cycle."""
+        """Update baselines and threshold, reduce the weight of older evidence, and begin the next cycle."""
         self.latency.end_cycle(self._min_samples)
         baseline_shares = self.latency.baseline_shares()
         if baseline_shares:
--- a/balancer/policy/overload/gossip.py
+++ b/balancer/policy/overload/gossip.py
@@ -1,4 +1,8 @@
-"""Gossip: what this sidecar shares with others each cycle, and how it merges what they share."""
+"""Gossip: what this sidecar shares with others each control cycle, and how it merges what they share.
+
+Sums are shared as in push-sum gossip: a sidecar sends half of each sum to a random other one, which adds it
+to its own.
+"""
 
 from random import Random
 
@@ -8,16 +12,16 @@
 from balancer.policy_api import GossipReceived, SendGossip, Settings
 
 RETAINED_SHARE = 1 / 2
-"""Share of all sums that a sidecar keeps; it sends the rest, so that all approach the mean of the fleet."""
+"""Share of each sum that a sidecar keeps; it sends the rest, so that all approach the mean of the fleet."""
 
 THRESHOLD_WEIGHT = 0.25
-"""Weight of a received threshold, so that the thresholds of the fleet converge and it sheds smoothly."""
+"""Weight of a received threshold, so that the thresholds converge and the fleet rejects evenly."""
 
 RESTARTED_THRESHOLD_WEIGHT = 1.0
-"""The same just after a start, when the own threshold says nothing."""
+"""Weight of a received threshold just after a start, when the sidecar's own says nothing."""
 
 MIN_CYCLES_TO_SHARE_THRESHOLD = 4
-"""Cycles after which a sidecar's own threshold is worth sharing."""
+"""Measurement cycles after which a sidecar's own threshold is worth sharing."""
 
 
 class Gossip:
@@ -40,11 +44,11 @@
 
     @property
     def _has_established_threshold(self) -> bool:
-        """Whether the own threshold is worth sharing."""
+        """Whether the sidecar's own threshold is worth sharing."""
         return self.cycle_count >= MIN_CYCLES_TO_SHARE_THRESHOLD
 
     def share(self) -> list[SendGossip]:
-        """Halve all sums, and return the message that carries the other half if there is a recipient."""
+        """Halve all sums and return a message with the other halves, if there is another sidecar."""
         settings = self._settings
         if not settings.gossip_enabled or settings.instance_count <= 1:
             return []
@@ -53,7 +57,7 @@
         return [SendGossip(self._draw_recipient(), self.codec.encode(message))]
 
     def merge(self, _now_ns: int, event: GossipReceived) -> None:
-        """Add what another sidecar shared; a payload that no sidecar of this version sends is ignored."""
+        """Add what another sidecar shared; ignore a payload that no sidecar of this version sends."""
         message = self.codec.decode(event.payload)
         if message is None:
             return
@@ -69,7 +73,7 @@
         return recipient_index
 
     def _merge_threshold(self, received_threshold: float) -> None:
-        """Move the own threshold towards that of another sidecar of the zone."""
+        """Move the sidecar's own threshold towards that of another sidecar of its zone."""
         weight = THRESHOLD_WEIGHT if self._has_established_threshold else RESTARTED_THRESHOLD_WEIGHT
         self._admission.threshold += weight * (received_threshold - self._admission.threshold)
         self.cycle_count = max(self.cycle_count, MIN_CYCLES_TO_SHARE_THRESHOLD)
--- a/balancer/policy/overload/measurement_cycle.py
+++ b/balancer/policy/overload/measurement_cycle.py
@@ -1,19 +1,23 @@
-"""The measurement cycle: after each one, admission and spillover are adjusted by what was measured in it."""
+"""The measurement cycle: the period in which the overload control collects evidence before it adjusts.
+
+At its end a control cycle adjusts admission and spillover. A measurement cycle that is short of samples is
+extended over several control cycles.
+"""
 
 from balancer.time_units import SECOND_NS
 
 CYCLE_NS = SECOND_NS // 4
-"""Usual length of a cycle: a quarter of DAGOR's, as a burst of 3 s is over before slower cycles react."""
+"""Usual length of a cycle: a quarter of DAGOR's, as a burst of 3 s is over before longer cycles react."""
 
 MAX_ATTEMPTS_PER_CYCLE = 2000
 """Attempts after which a cycle ends early, as in DAGOR."""
 
 MAX_CYCLE_NS = 1.5 * SECOND_NS
-"""Length up to which a cycle that is short of samples is extended to gather more."""
+"""Length up to which a cycle that is short of samples is extended to collect more."""
 
 
 class MeasurementCycle:
-    """When the current cycle began, and how many attempts have started in it."""
+    """Tracks when the current cycle began, and how many attempts have started in it."""
 
     def __init__(self) -> None:
         self.started_at_ns = 0
@@ -29,5 +33,5 @@
         return now_ns - self.started_at_ns
 
     def may_be_extended(self, now_ns: int) -> bool:
-        """Return whether waiting longer may yield more samples: without attempts there will be none."""
+        """Return whether an extension may yield samples: without attempts there will be none."""
         return self.attempt_count > 0 and self.elapsed_ns(now_ns) < MAX_CYCLE_NS
--- a/balancer/policy/overload/priority_levels.py
+++ b/balancer/policy/overload/priority_levels.py
@@ -1,4 +1,4 @@
-"""Priority levels of requests: a business level by the class, and user levels within it.
+"""Priority levels of requests: a business level for the class, divided into user levels.
 
 Source: DAGOR, "Overload Control for Scaling WeChat Microservices", SoCC 2018, section 4.
 """
@@ -11,13 +11,13 @@
 """User levels in each business level, as in DAGOR."""
 
 _USER_LEVEL_BITS = 7
-"""Bits of a hash that give the user level; the others give the position within the level."""
+"""Number of bits of a hash that give the user level; the other bits give the position within the level."""
 
 _POSITION_RANGE = 1 << (64 - _USER_LEVEL_BITS)
 """Number of positions within a level."""
 
 _MIDDLE_OF_LEVEL = 0.5
-"""Position within its level of a request with a key: all requests of a key are treated alike."""
+"""Position of a request with a key within its level: all requests with the same key are treated alike."""
 
 
 class PriorityLevels:
@@ -47,8 +47,8 @@
     def keyless_priority(self, event: RequestReceived, now_ns: int) -> float:
         """Return the level of a request without a key, plus its position within the level.
 
-        All such requests of a tenant at this sidecar have the same priority; over the fleet they are spread
-        evenly.
+        At one sidecar all requests of a tenant without keys have the same user level and position. Over the
+        fleet they are evenly distributed.
         """
         user_hash = mix64(self._instance_index ^ mix64(event.tenant_index ^ _salt(now_ns)))
         level = self.business_level(event) * USER_LEVELS + user_hash % USER_LEVELS
@@ -56,5 +56,5 @@
 
 
 def _salt(now_ns: int) -> int:
-    """Return the salt of the user levels: they are dealt anew each hour, so that no user is always last."""
+    """Return the salt of the user levels; it changes hourly so that no user always has the lowest level."""
     return mix64(now_ns // HOUR_NS)
--- a/balancer/policy/overload/queueing_delay.py
+++ b/balancer/policy/overload/queueing_delay.py
@@ -1,4 +1,4 @@
-"""The queueing delay at the endpoints: evidence from attempts, gathered by zone, and the estimate from it."""
+"""The queueing delay at the endpoints: evidence from attempts, by zone, and the estimate from it."""
 
 from __future__ import annotations
 
@@ -11,29 +11,32 @@
 from balancer.policy_api import Settings
 
 MIN_COUNT = 0.5
-"""Number of samples or attempts up to which their mean is taken as unknown."""
+"""Number of samples or attempts up to which their mean counts as unknown."""
 
 MIN_DECAY = 0.6
-"""Lower bound of the share of the evidence that is kept from cycle to cycle: a memory of about 0.6 s."""
+"""Least share of the evidence that is kept from cycle to cycle: a time constant of about 0.6 s."""
 
 MAX_DECAY = 0.85
-"""Upper bound of that share, used while samples are few: a memory of about 1.7 s."""
+"""Largest share of the evidence that is kept, while samples are few: a time constant of about 1.7 s."""
 
 AMPLE_SAMPLES = 8.0
-"""Number of samples from which on the shortest memory is enough."""
+"""Number of samples that would make older evidence unnecessary.
+
+The share of the evidence that is kept falls in proportion to the number of samples, within the bounds above.
+"""
 
 
 class LoadEstimate(NamedTuple):
     """The load of a group of endpoints."""
 
     queueing_delay: float
-    """Mean queueing delay as a share of the slack."""
+    """The mean queueing delay as a share of the slack."""
     response_ratio: float
-    """Answers per attempt; below 1 while queues grow."""
+    """Successful responses per attempt; below 1 while queues grow."""
 
     @staticmethod
     def of_evidence(evidence: QueueingEvidence) -> LoadEstimate:
-        """Estimate from evidence; where there is too little of it, no queueing is assumed."""
+        """Return the estimate from evidence; where there is too little of it, no queueing is assumed."""
         queueing_delay = 0.0
         if evidence.sample_count > MIN_COUNT:
             queueing_delay = evidence.delay_sum / evidence.sample_count
@@ -51,17 +54,17 @@
 
 
 class ZoneLoads(NamedTuple):
-    """Load estimates of the local zone and of all others, and for the traffic of this sidecar."""
+    """Load estimates of the local zone, of all other zones together, and for this sidecar's traffic."""
 
     local: LoadEstimate
     remote: LoadEstimate
     overall: LoadEstimate
-    """Weighted by where the attempts of this sidecar went."""
+    """The mean of both, weighted by the share of this sidecar's attempts that went to other zones."""
 
 
 @dataclass(slots=True)
 class AttemptCounts:
-    """The attempts of this sidecar alone; they decay like the evidence."""
+    """Decayed counts of the attempts of this sidecar alone, without those that gossip adds."""
 
     total: float = 0.0
     remote: float = 0.0
@@ -82,7 +85,8 @@
 
     def __init__(self, settings: Settings) -> None:
         self._local_zone = settings.local_zone
-        self.evidence = [QueueingEvidence() for _ in range(settings.zone_count)]  # shared with other sidecars
+        # By zone; gossip shares it with other sidecars.
+        self.evidence = [QueueingEvidence() for _ in range(settings.zone_count)]
         self.attempts = AttemptCounts()
 
     @property
@@ -97,11 +101,11 @@
         self.attempts.remote += zone != self._local_zone
 
     def discard_attempt(self, zone: int) -> None:
-        """Remove an attempt that turned out to say nothing about load."""
+        """Uncount an attempt whose outcome says nothing about load."""
         self.evidence[zone].attempt_count -= 1
 
     def record_success(self, zone: int) -> None:
-        """Count a successful answer."""
+        """Count a successful response."""
         self.evidence[zone].answer_count += 1
 
     def record_delay(self, endpoint: EndpointState, request: RequestState, delay: float) -> None:
@@ -123,12 +127,12 @@
         return ZoneLoads(local, remote, local.weighted_mean(remote, self.attempts.remote_share))
 
     def discount_attempts(self, rejected_share: float) -> None:
-        """Count the attempts as if this share of the traffic had been shed from the beginning."""
+        """Reduce the counts of attempts as if this share of the traffic had been rejected all along."""
         for evidence in self.evidence:
             evidence.attempt_count *= 1 - rejected_share
 
     def end_cycle(self) -> None:
-        """Let older evidence decay, the faster the more samples there are."""
+        """Reduce the weight of older evidence; the more samples there are, the faster it decays."""
         decay = min(MAX_DECAY, max(MIN_DECAY, 1 - self.sample_count / AMPLE_SAMPLES))
         for evidence in self.evidence:
             evidence.scale(decay)
--- a/balancer/policy/overload/spillover.py
+++ b/balancer/policy/overload/spillover.py
@@ -1,11 +1,11 @@
-"""Cross-zone spillover: how much traffic goes to other zones while they queue less than the local one."""
+"""Cross-zone spillover: how much traffic goes to other zones while their queueing delay is lower."""
 
 from balancer.policy.overload.measurement_cycle import CYCLE_NS
 from balancer.policy.overload.queueing_delay import ZoneLoads
 from balancer.policy_api import RequestClass, Settings
 
 SPILLOVER_STEP = 0.025
-"""Change of the ratio in a usual cycle, for a difference in delay as large as the overload threshold."""
+"""Change of the ratio in a cycle of usual length, for a difference in delay of one overload threshold."""
 
 MIN_DELAY_DIFFERENCE = -0.5
 """Lower bound of the difference in delay, in overload thresholds: the ratio falls slower than it rises."""
@@ -14,14 +14,14 @@
 """Upper bound of the difference in delay, in overload thresholds, so that one cycle moves little traffic."""
 
 CONNECT_FAILURE_STEPS = 4
-"""Steps by which a failed connect to another zone reduces the ratio, as a share of it."""
+"""Steps by which a failed connect to another zone reduces the ratio, as a share of its current value."""
 
 WEIGHT_SMOOTHING = 0.01
-"""Weight of a new request in the mean priority weight: a memory of about a hundred requests."""
+"""Weight of a new request in the mean priority weight, so that about the last hundred requests count."""
 
 
 class CrossZoneSpillover:
-    """The ratio of requests that spill over, and which requests are worth the price of it."""
+    """Maintains the spillover ratio, and decides which requests are worth the price of another zone."""
 
     def __init__(self, settings: Settings) -> None:
         self._cross_zone_price = settings.cross_zone_price
@@ -35,11 +35,11 @@
         self._mean_weight += WEIGHT_SMOOTHING * (request_class.priority_weight - self._mean_weight)
 
     def is_worth_crossing(self, request_class: RequestClass) -> bool:
-        """Return whether a request is worth more than it costs to send it to another zone."""
+        """Return whether the weight of a request exceeds the price of sending it to another zone."""
         return request_class.priority_weight > self._cross_zone_price * self._mean_weight
 
     def record_connect_failure(self) -> None:
-        """Reduce the spillover: a zone that is cut off shows no delays and would attract ever more."""
+        """Reduce the spillover: an unreachable zone shows no delays and would get more and more traffic."""
         self.ratio *= 1 - SPILLOVER_STEP * CONNECT_FAILURE_STEPS
 
     def update(self, loads: ZoneLoads, overload_threshold: float, elapsed_ns: int) -> None:
