--- a/balancer/policy/__init__.py
+++ b/balancer/policy/__init__.py
@@ -1,1 +1,1 @@
-"""The decisions of the load balancer: they depend on the settings, the seed and the events alone."""
+"""The policy: the decisions of the load balancer, which depend on the settings, the seed and events alone."""
--- a/balancer/policy/balancer.py
+++ b/balancer/policy/balancer.py
@@ -1,7 +1,7 @@
-"""The decisions of a sidecar, one event at a time. Their interface is balancer/policy_api.py.
+"""The policy of a sidecar: it handles one event at a time. Its interface is balancer/policy_api.py.
 
 A request is normally sent to an idle endpoint of a small subset, unless admission control rejects it; see
-docs/design.md. All times are integer nanoseconds of the clock that comes with each event.
+docs/design.md. All times are integers in nanoseconds, read from the clock that comes with each event.
 """
 
 from collections.abc import Callable
@@ -37,14 +37,14 @@
 
 
 class Balancer:
-    """Routes the events of one sidecar to the parts that decide, and returns their actions."""
+    """Passes each event of one sidecar to the component that handles it, and returns the actions."""
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
         self._actions: list[api.Action] = []
-        """The actions decided so far for the event in hand; shared with the parts that decide them."""
+        """The actions for the current event so far; the components append to this list."""
         self.random = Random(seed)
         self.requests: dict[int, RequestState] = {}
-        """The requests that await their final answer."""
+        """The requests that await their final response, by id."""
 
         self.membership = Membership(settings, self.random)
         self.overload = OverloadDetector(settings)
@@ -87,7 +87,7 @@
         self._handlers = self._build_handlers(settings)
 
     def handle(self, now_ns: int, event: api.Event) -> list[api.Action]:
-        """Handle one event and return the actions that answer it."""
+        """Handle one event and return the resulting actions."""
         handler = self._handlers.get(type(event))
         if handler:
             handler(now_ns, event)
@@ -96,7 +96,7 @@
         return actions
 
     def _build_handlers(self, settings: api.Settings) -> dict[type, Callable[..., None]]:
-        """Return the handlers by type of event; each takes the time and the event."""
+        """Return the handler for each type of event; a handler takes the time and the event."""
         arrivals = RequestArrivalHandler(
             settings.classes,
             self.requests,
@@ -154,5 +154,5 @@
         self.control_cycle.end(now_ns)
 
     def _on_response_not_needed(self, _now_ns: int, event: api.ClientDisconnected | api.StreamStarted) -> None:
-        """Forget a request that needs no final answer; a stream has no deadline and is never retried."""
+        """Forget a request that needs no final response; a stream has no deadline and is never retried."""
         self.requests.pop(event.request_id, None)
--- a/balancer/policy/overload/arrival_histogram.py
+++ b/balancer/policy/overload/arrival_histogram.py
@@ -5,7 +5,7 @@
 from balancer.policy.overload.priority_levels import USER_LEVELS
 
 HISTOGRAM_DECAY = 0.9
-"""Share of the arrivals that is kept from cycle to cycle: a time constant of about 2.5 s."""
+"""Share of the arrivals that is kept per measurement cycle: a time constant of about 2.5 s."""
 
 MIN_LEVEL_COUNT = 0.02
 """Number of arrivals, decayed, at or below which a level is dropped, to bound the size of the histogram."""
--- a/balancer/policy/overload/control_cycle.py
+++ b/balancer/policy/overload/control_cycle.py
@@ -1,7 +1,7 @@
 """The control cycle: one run of the overload control, which adjusts admission and spillover.
 
-It runs when a periodic timer fires, or earlier after a number of attempts, as in DAGOR. It ends the measurement
-cycle, unless that has too few samples and is extended.
+It runs when a periodic timer fires, or earlier after a number of attempts, as in DAGOR. It ends the
+measurement cycle, unless that has too few samples and is extended.
 """
 
 from balancer import policy_api as api
--- a/balancer/policy/overload/latency_tracker.py
+++ b/balancer/policy/overload/latency_tracker.py
@@ -5,7 +5,7 @@
 from balancer.policy_api import RequestClass
 
 LATENCY_DECAY = 0.95
-"""Share of the latency samples that is kept from cycle to cycle: a time constant of about 5 s."""
+"""Share of the latency samples that is kept per measurement cycle: a time constant of about 5 s."""
 
 BASELINE_DRIFT = 1.0025
 """Factor by which a baseline may rise in a measurement cycle, so that an old minimum is forgotten."""
--- a/balancer/policy/overload/queueing_delay.py
+++ b/balancer/policy/overload/queueing_delay.py
@@ -14,7 +14,7 @@
 """Number of samples or attempts up to which their mean counts as unknown."""
 
 MIN_DECAY = 0.6
-"""Least share of the evidence that is kept from cycle to cycle: a time constant of about 0.6 s."""
+"""Least share of the evidence that is kept per measurement cycle: a time constant of about 0.6 s."""
 
 MAX_DECAY = 0.85
 """Largest share of the evidence that is kept, while samples are few: a time constant of about 1.7 s."""
--- a/balancer/policy/requests/__init__.py
+++ b/balancer/policy/requests/__init__.py
@@ -1,1 +1,1 @@
-"""Requests from their arrival to their final answer: attempts, outcomes and retries."""
+"""Requests from their arrival to their final response: attempts, outcomes and retries."""
--- a/balancer/policy/requests/attempt_completions.py
+++ b/balancer/policy/requests/attempt_completions.py
@@ -1,4 +1,4 @@
-"""The end of attempts: their outcome is recorded, then the request is retried or gets its final answer."""
+"""The end of attempts: the outcome is recorded, then the request is retried or gets its final response."""
 
 from balancer import policy_api as api
 from balancer.policy.endpoints.membership import Membership
@@ -32,7 +32,7 @@
         self._dispatcher = dispatcher
 
     def handle(self, now_ns: int, event: api.AttemptCompleted) -> None:
-        """Record the outcome of an attempt, and retry or answer its request if it is not finished."""
+        """Record the outcome of an attempt; if its request is not finished, retry it or send a response."""
         request = self._requests.get(event.request_id)
         endpoint = self._membership.endpoints.get(event.endpoint_id)
         if endpoint is not None and endpoint.in_flight:
--- a/balancer/policy/requests/attempt_dispatcher.py
+++ b/balancer/policy/requests/attempt_dispatcher.py
@@ -1,4 +1,4 @@
-"""The start of attempts, and the final answers to requests that get no further attempt."""
+"""The start of attempts, and the final responses to requests that get no further attempt."""
 
 from balancer import policy_api as api
 from balancer.policy.endpoints.endpoint_state import EndpointState
@@ -11,7 +11,7 @@
 
 
 class AttemptDispatcher:
-    """Starts attempts and gives final answers."""
+    """Starts attempts and sends final responses."""
 
     def __init__(
         self,
@@ -32,7 +32,7 @@
         self._control_cycle = control_cycle
 
     def dispatch(self, request: RequestState, endpoint: EndpointState | None, now_ns: int) -> None:
-        """Start an attempt; without an endpoint for it give the request its final answer."""
+        """Start an attempt at the endpoint; if there is none, send the final response."""
         if endpoint is None:
             self.send_final_response(request, now_ns)
             return
@@ -51,6 +51,6 @@
         self._control_cycle.end_if_attempt_limit_reached(now_ns)
 
     def send_final_response(self, request: RequestState, now_ns: int) -> None:
-        """Answer a request that nothing served, and forget it."""
+        """Reject or fail a request that no endpoint served, and forget it."""
         del self._requests[request.id]
         self._actions.append(self._retry.final_response(request, now_ns))
--- a/balancer/policy/requests/hung_attempts.py
+++ b/balancer/policy/requests/hung_attempts.py
@@ -1,4 +1,4 @@
-"""Hung attempts: those that are late although their endpoint serves requests that were sent later."""
+"""Hung attempts: attempts that are late although their endpoint serves requests that were sent later."""
 
 from random import Random
 
@@ -10,23 +10,26 @@
 from balancer.policy_api import AttemptOutcome, Idempotency, Settings
 
 MIN_HUNG_DELAY = 0.5
-"""Queueing delay (share of the slack) from which an overtaken attempt is hung.
+"""Queueing delay (share of the slack) from which an overtaken attempt counts as hung.
 
-Without overload one attempt in a hundred waits that long.
+Without overload one attempt in a hundred has such a delay.
 """
 
 MIN_HUNG_FAILURE_RATE = 0.5
-"""Share of hung attempts that must fail before any is cancelled; where few fail, they are long by nature."""
+"""Share of hung attempts that must fail before any is cancelled.
+
+Where few of them fail, the requests take that long without a fault of the endpoint.
+"""
 
 HUNG_SMOOTHING = 0.1
-"""Weight of a hung attempt in the smoothed failure rate: about the last ten count."""
+"""Weight of a hung attempt in the smoothed failure rate, so that about the last ten count."""
 
 CANCELLED_SHARE = 0.9
-"""Share of hung attempts that is cancelled; the outcomes of the others keep the failure rate up to date."""
+"""Probability that a hung attempt is cancelled; the outcomes of the others update the failure rate."""
 
 
 def is_overtaken(request: RequestState) -> bool:
-    """Return whether the endpoint has served an attempt that started a control cycle later than this one."""
+    """Return whether the endpoint has served an attempt that started more than `CYCLE_NS` after this one."""
     attempt = request.attempt
     if attempt.endpoint is None:
         return False
@@ -34,7 +37,7 @@
 
 
 class HungAttempts:
-    """Recognizes hung attempts, counts them as failures of their class and has them cancelled for a retry."""
+    """Detects hung attempts, counts them as failures of their class, and has them cancelled for a retry."""
 
     def __init__(
         self, settings: Settings, random: Random, overload: OverloadDetector, retry: RetryPolicy
@@ -44,12 +47,12 @@
         self._overload = overload
         self._retry = retry
         self._failure_rate = 0.0
-        """Smoothed share of hung attempts that failed in the end."""
+        """Smoothed share of the hung attempts that ended with a failure."""
 
     def record_outcome(
         self, endpoint: EndpointState, request: RequestState, failed: bool, now_ns: int
     ) -> None:
-        """Record the outcome of an attempt; a hung one has counted as a failure of its class before."""
+        """Record the outcome of an attempt; a failure that was counted when it hung is not counted again."""
         attempt = request.attempt
         if not failed:
             endpoint.answers.record_served(attempt.started_at_ns)
@@ -62,9 +65,10 @@
     def should_cancel(
         self, endpoint: EndpointState, request: RequestState, delay: float, now_ns: int
     ) -> bool:
-        """Record that an attempt is overtaken, and return whether to cancel it for a retry.
+        """Mark an overtaken attempt as hung if it is late enough; return whether to cancel it for a retry.
 
-        Unless the endpoints are calm it is not cancelled: its endpoint may go on with it beside the retry.
+        It is only cancelled while the queueing delay is low, because its endpoint may continue to execute it
+        in addition to the retry.
         """
         if delay < MIN_HUNG_DELAY or request.attempt.is_hung:
             return False
--- a/balancer/policy/requests/outcome_recorder.py
+++ b/balancer/policy/requests/outcome_recorder.py
@@ -1,4 +1,4 @@
-"""Learning from the outcomes of attempts: load, failure rates, ejections and slow-start allowances."""
+"""Records the outcomes of attempts: load, failure rates, ejections, and token buckets of the slow start."""
 
 from balancer.policy.endpoints.endpoint_state import EndpointState
 from balancer.policy.endpoints.outlier_detection import OutlierDetector
@@ -11,20 +11,20 @@
 from balancer.policy_api import AttemptCompleted, AttemptOutcome, Settings
 
 MAX_DELAY = 2.0
-"""Largest queueing delay (share of the slack) recorded for an answer: one late answer must not prevail."""
+"""Largest queueing delay (share of the slack) recorded for a response, so that none dominates the mean."""
 
 FAILURE_DELAY = 1.0
-"""Queueing delay (share of the slack) recorded for an attempt that failed by overload."""
+"""Queueing delay (share of the slack) recorded for an attempt that failed because of overload."""
 
 OVERLOAD_OUTCOMES = (AttemptOutcome.TIMEOUT, AttemptOutcome.REJECTED)
-"""Outcomes that are a sign of overload, unless the endpoint is ejected."""
+"""Outcomes that indicate overload, unless the endpoint is ejected."""
 
 UNINFORMATIVE_OUTCOMES = (AttemptOutcome.CANCELLED, AttemptOutcome.NOT_SENT, AttemptOutcome.CLIENT_ERROR)
 """Outcomes that say nothing about the load or the health of the endpoint."""
 
 
 class OutcomeRecorder:
-    """Passes the outcome of an attempt to the parts that learn from it."""
+    """Passes the outcome of an attempt to the components that use it."""
 
     def __init__(
         self,
@@ -45,11 +45,11 @@
     def record(
         self, endpoint: EndpointState, event: AttemptCompleted, request: RequestState | None, now_ns: int
     ) -> None:
-        """Record the outcome of an attempt; the request is None if it had its final answer before."""
+        """Record the outcome of an attempt; the request is None if it already had its final response."""
         outcome = event.outcome
         if outcome in UNINFORMATIVE_OUTCOMES:
             self._overload.discard_attempt(endpoint)
-            if outcome == AttemptOutcome.CLIENT_ERROR:  # an answer nevertheless
+            if outcome == AttemptOutcome.CLIENT_ERROR:  # the endpoint did respond
                 endpoint.answers.restart_wait(now_ns)
             return
         if outcome == AttemptOutcome.CONNECT_FAILED:
@@ -73,8 +73,8 @@
     ) -> None:
         """Record the queueing delay of an attempt.
 
-        An attempt at an endpoint that fails for another reason than load says nothing about load: it must not
-        cause requests to be rejected that the other endpoints can serve.
+        An attempt that fails for another reason than load is not recorded: otherwise it would cause the
+        rejection of requests that the other endpoints can serve.
         """
         overload = self._overload
         if event.outcome == AttemptOutcome.SUCCESS:
--- a/balancer/policy/requests/request_arrivals.py
+++ b/balancer/policy/requests/request_arrivals.py
@@ -34,9 +34,9 @@
         self._probe_rounds = probe_rounds
 
     def handle(self, now_ns: int, event: api.RequestReceived) -> None:
-        """Dispatch a request that is admitted, and give any other its final answer.
+        """Start an attempt for a request that is admitted, and send the final response to any other.
 
-        One below the admission threshold may still go to an endpoint that is warming up.
+        A request below the admission threshold may still go to an endpoint that is warming up.
         """
         request_class = self._request_classes[event.class_index]
         request = RequestState(event, request_class, now_ns)
--- a/balancer/policy/requests/request_state.py
+++ b/balancer/policy/requests/request_state.py
@@ -1,4 +1,4 @@
-"""The state of one request, from its arrival to its final answer."""
+"""The state of one request, from its arrival to its final response."""
 
 from dataclasses import dataclass, field
 from typing import NamedTuple
@@ -15,12 +15,13 @@
     endpoints: list[EndpointState] = field(default_factory=list)
     """The endpoints probed in all rounds."""
     rounds: int = 0
-    """Rounds that were started."""
+    """Number of rounds that were started."""
     pending_count: int = 0
-    """Probes that have not ended."""
+    """Number of probes that have not ended."""
     fastest: EndpointState | None = None
-    """The endpoint whose answer exceeded the fastest known answer of its zone by the least time."""
+    """The endpoint whose probe took the least time beyond the fastest known probe of its zone."""
     fastest_duration_ns: int = 2 * HOUR_NS
+    """Duration of its probe; before the first success a value longer than any probe."""
     fastest_is_remote: bool = False
 
     def add_endpoint(self, endpoint: EndpointState) -> None:
@@ -33,7 +34,7 @@
         self.pending_count -= 1
 
     def set_fastest(self, endpoint: EndpointState, duration_ns: int, is_remote: bool) -> None:
-        """Set the endpoint that is to get the request."""
+        """Set the endpoint that gets the request unless a faster one responds."""
         self.fastest = endpoint
         self.fastest_duration_ns = duration_ns
         self.fastest_is_remote = is_remote
@@ -52,21 +53,21 @@
         """Whether the attempt had to wait for a new connection."""
         self.started_at_ns = started_at_ns
         self.recorded_delay = 0.0
-        """Queueing delay of the attempt that the overload detector has recorded, as a share of the slack."""
+        """Queueing delay (share of the slack) that the overload detector has recorded for the attempt."""
         self.is_hung = False
-        """Whether the attempt is late although its endpoint served attempts that started later."""
+        """Whether the attempt counts as hung; see `HungAttempts`."""
 
 
 class DeduplicationBinding(NamedTuple):
-    """Where and until when repeats of a request with an idempotency key are dropped."""
+    """The deduplication group that drops retries of a request with an idempotency key, and until when."""
 
     endpoint: EndpointState
-    """Its deduplication group may get the request again."""
+    """A member of the group; the request may be retried within the group."""
     until_ns: int
 
 
 class RequestState:
-    """A request that awaits its final answer."""
+    """A request that awaits its final response."""
 
     __slots__ = (
         "attempt",
@@ -93,22 +94,25 @@
         self.attempt_count = 0
         self.attempt = AttemptState()
         self.is_safe_to_retry_anywhere = True
-        """Whether a further execution does no harm, at any endpoint and any time."""
+        """Whether the request is safe to retry at any endpoint and any time.
+
+        This is the case while it was certainly not executed, and always if it is idempotent.
+        """
         self.deduplication: DeduplicationBinding | None = None
 
     @property
     def deduplicated_until_ns(self) -> int:
-        """Time until which repeats are dropped; 0 if the request has not been bound to a group."""
+        """Time until which retries are dropped as duplicates; 0 if the request is not bound to a group."""
         return self.deduplication.until_ns if self.deduplication else 0
 
     @property
     def needs_connection(self) -> bool:
-        """Whether the attempt in progress had to wait for a new connection."""
+        """Whether the current attempt had to wait for a new connection."""
         return self.attempt.needs_connection
 
     @property
     def recorded_delay(self) -> float:
-        """Queueing delay of the attempt in progress that has been recorded, as a share of the slack."""
+        """Queueing delay (share of the slack) that has been recorded for the current attempt."""
         return self.attempt.recorded_delay
 
     @recorded_delay.setter
@@ -121,9 +125,9 @@
         self.attempt_count += 1
 
     def record_possible_execution(self) -> None:
-        """Record that the attempt may have been executed; without an attempt there is nothing to record.
+        """Record that the current attempt may have been executed; do nothing if there was no attempt.
 
-        The first execution binds a request with an idempotency key to the endpoint's deduplication group.
+        The first such attempt binds a request with an idempotency key to the endpoint's deduplication group.
         """
         endpoint = self.attempt.endpoint
         if endpoint is None:
--- a/balancer/policy/requests/running_attempts.py
+++ b/balancer/policy/requests/running_attempts.py
@@ -1,4 +1,4 @@
-"""The attempts in progress as samples of the queueing delay."""
+"""Attempts in flight as samples of the queueing delay."""
 
 from balancer import policy_api as api
 from balancer.policy.overload.detector import OverloadDetector
@@ -6,11 +6,11 @@
 from balancer.policy.requests.request_state import RequestState
 
 MAX_RUNNING_DELAY = 1.0
-"""Largest delay (share of the slack) recorded for an attempt in progress, as for one that timed out."""
+"""Largest delay (share of the slack) recorded for an attempt in flight, the same as for a timeout."""
 
 
 class RunningAttemptSampler:
-    """Records the delay of attempts in progress: a sudden queue shows before its first late answer."""
+    """Records the delay of attempts in flight: it shows a sudden queue before the first late response."""
 
     def __init__(
         self,
@@ -25,12 +25,15 @@
         self._hung_attempts = hung_attempts
 
     def sample_all(self, now_ns: int) -> None:
-        """Record the delays of all attempts in progress, and cancel those that hang."""
+        """Record the delays of all attempts in flight, and cancel those that hang."""
         for request in self._requests.values():
             self._sample(request, now_ns)
 
     def _sample(self, request: RequestState, now_ns: int) -> None:
-        """Record the delay of one attempt; the delay at an ejected endpoint says nothing about the others."""
+        """Record the delay of one attempt.
+
+        An attempt at an ejected endpoint is skipped, as its delay says nothing about the other endpoints.
+        """
         attempt = request.attempt
         endpoint = attempt.endpoint
         if endpoint is None or endpoint.ejection.is_active(now_ns):
