--- a/tests/policy/__init__.py
+++ b/tests/policy/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the decisions, `balancer.policy`."""
+"""Tests of the policy, `balancer.policy`."""
--- a/tests/policy/characterization_driver.py
+++ b/tests/policy/characterization_driver.py
@@ -1,4 +1,4 @@
-"""Plays clients, servers, discovery and other sidecars against balancers, and digests their actions."""
+"""Simulates clients, account servers, discovery and sidecars around balancers, and digests their actions."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
 from tests.policy.request_ledger import OpenRequest, RequestLedger
 
 EVENT_COUNT = 12_000
-"""The number of events in a stream."""
+"""Number of events in the stream of one scenario."""
 
 ACTION_TYPES = (
     StartAttempt,
@@ -59,21 +59,21 @@
     SendGossip,
     WriteLog,
 )
-"""The digest has the position of an action's type in this list."""
+"""All types of actions; the digest contains the position of an action's type in this list."""
 
 
 @dataclass
 class DrivenSidecar:
-    """One balancer and the requests that it holds."""
+    """A sidecar that the driver simulates: its balancer and the requests that it holds."""
 
     balancer: Balancer
     ledger: RequestLedger[OpenRequest] = field(default_factory=RequestLedger)
 
 
 class CharacterizationDriver:
-    """Plays a scenario and digests the actions.
+    """Runs a scenario and digests the actions.
 
-    The digest depends on the order of the random draws, also of those for the clients and the servers.
+    The digest depends on the order of all random draws, including those for the clients and account servers.
     """
 
     def __init__(self, scenario: Scenario) -> None:
@@ -92,7 +92,7 @@
         ]
 
     def run(self) -> str:
-        """Play the scenario and return the digest."""
+        """Run the scenario and return the digest."""
         for sidecar in self.sidecars:
             self.handle(sidecar, Started())
             self.handle(sidecar, EndpointUpdate(EndpointUpdateKind.CACHED, self.servers.entries))
@@ -103,7 +103,7 @@
         return self.digest.hexdigest()
 
     def handle(self, sidecar: DrivenSidecar, event: Event) -> None:
-        """Deliver an event; digest the actions that answer it, then carry them out."""
+        """Deliver an event; digest the resulting actions, then carry them out."""
         self.event_count += 1
         actions = sidecar.balancer.handle(self.events.now_ns, event)
         for action in actions:
@@ -120,7 +120,7 @@
         self.digest.update(line.encode())
 
     def carry_out(self, sidecar: DrivenSidecar, action: Action) -> None:
-        """Do what an action asks for."""
+        """Carry out an action."""
         if isinstance(action, StartAttempt):
             self.start_attempt(sidecar, action)
         elif isinstance(action, RejectRequest | FailRequest):
@@ -140,10 +140,10 @@
         """Deliver an event after a delay."""
         self.events.schedule(delay_ns, partial(self.handle, sidecar, event))
 
-    # Servers, discovery and other sidecars.
+    # The simulated account servers, discovery and other sidecars.
 
     def change_phase(self) -> None:
-        """Begin the next phase, and push what it changes of the endpoint list."""
+        """Begin the next phase, and push the changed entries of the endpoint list."""
         changed_entries = self.servers.change_phase(self.events.now_ns)
         if not self.settings.polls_discovery:
             for sidecar in self.sidecars:
@@ -151,7 +151,7 @@
         self.events.schedule(self.scenario.phase_ns, self.change_phase)
 
     def update_endpoints(self, sidecar: DrivenSidecar, entries: list[Endpoint]) -> None:
-        """Send the whole endpoint list, or these entries if there are any."""
+        """Send either a snapshot of the endpoint list or, if there are any, these entries as a delta."""
         if self.random.random() < 0.3:
             snapshot = EndpointUpdate(EndpointUpdateKind.SNAPSHOT, self.servers.present_entries)
             self.handle(sidecar, snapshot)
@@ -159,7 +159,7 @@
             self.handle(sidecar, EndpointUpdate(EndpointUpdateKind.DELTA, tuple(entries)))
 
     def respond_to_watch(self, sidecar: DrivenSidecar) -> None:
-        """Let a watch fail, or answer it and break it some time later, so that it has to be started anew."""
+        """Let a watch fail at once, or send the list and let it fail later; then it has to be restarted."""
         failed = EndpointUpdate(EndpointUpdateKind.DISCOVERY_FAILED, ())
         if self.random.random() < 0.4:
             self.handle(sidecar, failed)
@@ -168,7 +168,7 @@
         self.deliver_later(sidecar, failed, self.random.randrange(4 * SECOND_NS))
 
     def respond_to_health_check(self, sidecar: DrivenSidecar, identifier: EndpointId) -> None:
-        """Complete a health check when its server has replied."""
+        """Complete a health check when its account server has responded."""
         response = self.servers.respond_to_health_check(identifier)
         completed = HealthCheckCompleted(identifier, response.outcome, response.duration_ns, ())
         self.deliver_later(sidecar, completed, response.duration_ns)
@@ -181,10 +181,10 @@
         recipient = self.sidecars[action.recipient_index % len(self.sidecars)]
         self.deliver_later(recipient, GossipReceived(0, payload), MILLISECOND_NS)
 
-    # Clients, and the attempts for their requests.
+    # The simulated clients, and the attempts for their requests.
 
     def receive_request(self, sidecar: DrivenSidecar) -> None:
-        """Deliver a request, schedule the next one, and have a few clients leave."""
+        """Deliver a request, schedule the next one, and schedule the disconnect of a few clients."""
         load_factor = 2.0 if self.servers.phase == Phase.OVERLOAD else 1.0
         rate_per_second = self.scenario.requests_per_second * load_factor
         next_delay_ns = int(self.random.expovariate(rate_per_second) * SECOND_NS)
@@ -216,7 +216,10 @@
         )
 
     def waive_final_response(self, sidecar: DrivenSidecar, request_id: int) -> None:
-        """Let the client of an open request leave, or its answer begin to stream."""
+        """Let the client of an open request disconnect, or the response begin to stream.
+
+        After either event no final response is needed.
+        """
         request = sidecar.ledger.requests.get(request_id)
         if request is None or request.is_answered:
             return
@@ -226,7 +229,7 @@
         self.handle(sidecar, event)
 
     def start_attempt(self, sidecar: DrivenSidecar, action: StartAttempt) -> None:
-        """Start an attempt, and schedule its end by its server or by its timeout."""
+        """Start an attempt, and schedule its end by its account server or by its timeout."""
         request = sidecar.ledger.requests[action.request_id]
         attempt = sidecar.ledger.start_attempt(action, self.events.now_ns)
         outcome, duration_ns = self.servers.respond_to_attempt(action.endpoint_id, request.class_index)
--- a/tests/policy/characterization_scenarios.py
+++ b/tests/policy/characterization_scenarios.py
@@ -1,4 +1,4 @@
-"""The scenarios of the characterisation of the decisions: settings, load and phases of trouble."""
+"""The scenarios of the characterization test: settings, load and phases of faults."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Phase(StrEnum):
-    """What is wrong with the servers for a while. All but the first two concern some of them only."""
+    """The fault of the account servers during a phase. All but the first two affect only some of them."""
 
     STEADY_STATE = "calm"
     OVERLOAD = "overload"
@@ -20,7 +20,7 @@
     RESETS = "resets"
     REJECTING = "rejecting"
     HANGING_CLASS = "hanging_class"
-    """The requests of the first class are never answered."""
+    """The requests of the first class get no response."""
     RESTART = "restart"
     DRAIN = "drain"
     UNRESPONSIVE = "silent"
@@ -81,18 +81,18 @@
 
 @dataclass(frozen=True)
 class Scenario:
-    """What one recorded stream is made of."""
+    """The settings, load and phases from which one recorded stream of actions results."""
 
     settings: Settings
     seed: int
     balancer_count: int = 1
     requests_per_second: float = 120.0
-    """For each balancer."""
+    """Rate of requests at each balancer."""
     short_timeout_share: float = 0.02
-    """The share of clients that give less time than an answer takes."""
+    """Share of the clients whose timeout is shorter than a response takes."""
     phases: tuple[Phase, ...] = ALL_PHASES
     phase_ns: int = 3 * SECOND_NS
-    """How long a phase lasts."""
+    """Length of a phase."""
 
 
 SCENARIOS = {
--- a/tests/policy/conftest.py
+++ b/tests/policy/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures of the tests of the decisions."""
+"""Fixtures of the tests of the policy."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from tests.builders import two_priority_settings
 from tests.policy.harness import BalancerHarness
 
-# So that their assertions show the values compared, as those of test modules do.
+# pytest shows the compared values only for assertions in test modules and in the modules registered here.
 pytest.register_assert_rewrite(
     "tests.policy.execution_invariants",
     "tests.policy.invariant_checker",
--- a/tests/policy/event_queue.py
+++ b/tests/policy/event_queue.py
@@ -1,4 +1,4 @@
-"""Simulated time: a clock that jumps from one scheduled callback to the next."""
+"""Simulated time: a clock that advances to each scheduled callback in turn."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class EventQueue:
-    """The callbacks that are due, in order of time; those of one time in the order they were scheduled."""
+    """The scheduled callbacks, in order of time; those of one time are in the order of their scheduling."""
 
     def __init__(self) -> None:
         self.now_ns = START_NS
@@ -21,11 +21,11 @@
         self._callbacks: list[tuple[int, int, Callback]] = []
 
     def schedule(self, delay_ns: int, callback: Callback) -> None:
-        """Call back after a delay; one that is negative counts as none."""
+        """Schedule a callback after a delay; a negative delay counts as 0."""
         self.schedule_at(self.now_ns + max(0, delay_ns), callback)
 
     def schedule_at(self, due_at_ns: int, callback: Callback) -> None:
-        """Call back at a point in time."""
+        """Schedule a callback at a point in time."""
         heappush(self._callbacks, (due_at_ns, next(self._sequence_numbers), callback))
 
     def run_next(self) -> None:
@@ -34,7 +34,7 @@
         callback()
 
     def run_until(self, end_ns: int) -> None:
-        """Call what is due up to a point in time, and advance the clock to it."""
+        """Run the callbacks that are due up to a point in time, and advance the clock to it."""
         while self._callbacks and self._callbacks[0][0] <= end_ns:
             self.run_next()
         self.now_ns = end_ns
--- a/tests/policy/execution_invariants.py
+++ b/tests/policy/execution_invariants.py
@@ -1,4 +1,4 @@
-"""Invariants on executions: what may have been executed is repeated only where that does no harm."""
+"""Invariants on executions: a request that may have been executed is retried only where that is safe."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class PossibleExecution(NamedTuple):
-    """Where and since when a request may have been executed."""
+    """The endpoint where a request may have been executed, and the start of that attempt."""
 
     endpoint_id: EndpointId
     started_at_ns: int
@@ -26,12 +26,12 @@
 
 @dataclass(slots=True)
 class CheckedRequest(OpenRequest):
-    """An open request, with its first possible execution."""
+    """An open request with its first possible execution."""
 
     first_execution: PossibleExecution | None = None
 
     def record_outcome(self, attempt: AttemptInFlight, outcome: AttemptOutcome) -> None:
-        """Record whether an attempt may have been executed."""
+        """Record the first attempt that may have been executed."""
         if outcome not in OUTCOMES_NEVER_EXECUTED and self.first_execution is None:
             self.first_execution = PossibleExecution(attempt.endpoint_id, attempt.started_at_ns)
 
@@ -43,7 +43,7 @@
     retried: Endpoint,
     now_ns: int,
 ) -> None:
-    """Check that a second execution does no harm: it is idempotent, or dropped as a duplicate."""
+    """Check that a retry is safe: the request is idempotent, or the retry is dropped as a duplicate."""
     if request_class.idempotency == Idempotency.IDEMPOTENT:
         return
     assert request_class.idempotency == Idempotency.IDEMPOTENCY_KEY
@@ -55,7 +55,7 @@
 
 
 def check_client_may_retry(request_class: RequestClass) -> None:
-    """Check that a repeat by the client of a request that may have been executed does no harm."""
+    """Check that the client may safely retry a request that may have been executed."""
     assert request_class.idempotency == Idempotency.IDEMPOTENT or (
         request_class.idempotency == Idempotency.IDEMPOTENCY_KEY
         and request_class.deduplication_scope == DeduplicationScope.ALL
--- a/tests/policy/fleet_servers.py
+++ b/tests/policy/fleet_servers.py
@@ -1,4 +1,4 @@
-"""The servers of a simulated fleet: cores, a queue, a limit on connections, and a slow start."""
+"""The account servers of a simulated fleet: cores, a queue, a limit on connections, and a slow start."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 
 
 class QueuedWork(NamedTuple):
-    """Something for a core to do, and what to call when it is done."""
+    """Work for a core, and the callback when it is done."""
 
     duration_ns: int
-    """On a core of a server that is warm."""
+    """Time that a core needs for it when the account server is warm."""
     on_done: Callback | None
 
 
 @dataclass
 class AccountServer:
-    """A server with a first-in first-out queue in front of its cores."""
+    """An account server with a first-in first-out queue in front of its cores."""
 
     number: int
     zone: int = 0
@@ -36,7 +36,7 @@
     peak_connections: int = 0
     queue: deque[QueuedWork] = field(default_factory=deque)
     attempt_times_ns: list[int] = field(default_factory=list)
-    """When attempts to it were started, since its own start."""
+    """Start times of the attempts to it, since its own start."""
 
     @property
     def id(self) -> EndpointId:
@@ -48,7 +48,7 @@
         return endpoint(self.number, zone=self.zone, started_at_ns=self.started_at_ns)
 
     def capacity(self, now_ns: int, settings: Settings) -> float:
-        """Return the share of its work that it can do at this time after its start."""
+        """Return the share of its full load that it can take at this time after its start."""
         age_ns = now_ns - self.started_at_ns
         if not self.started_at_ns or age_ns >= settings.slow_start_duration_ns:
             return 1.0
@@ -56,17 +56,17 @@
         return initial + (1 - initial) * max(age_ns, 0) / settings.slow_start_duration_ns
 
     def restart(self, now_ns: int) -> None:
-        """Begin to warm up."""
+        """Restart the account server, which then warms up."""
         self.started_at_ns = now_ns
         self.is_up = True
         self.attempt_times_ns.clear()
 
     def stop(self) -> None:
-        """Go silent: nothing is answered any more."""
+        """Make the account server unresponsive: it sends no more responses."""
         self.is_up = False
 
     def accept_connection(self) -> bool:
-        """Accept a connection, if it is up and its connection table has room."""
+        """Accept a connection, unless the account server is unresponsive or its connection table is full."""
         if not self.is_up or self.connections >= self.connection_limit:
             self.refused_connects += 1
             return False
@@ -75,7 +75,7 @@
         return True
 
     def start_work(self, work: QueuedWork, events: EventQueue, settings: Settings) -> None:
-        """Start to do something, or queue it while all cores are busy."""
+        """Start the work on a core, or queue it if all cores are busy."""
         if self.busy_cores >= self.cores:
             self.queue.append(work)
             return
--- a/tests/policy/fleet_sidecar.py
+++ b/tests/policy/fleet_sidecar.py
@@ -1,4 +1,4 @@
-"""A sidecar of a simulated fleet: a balancer with its connections to the servers, without network code."""
+"""A sidecar of a simulated fleet: a balancer with connections to account servers, without network code."""
 
 from __future__ import annotations
 
@@ -34,38 +34,38 @@
 from tests.policy.request_ledger import OpenRequest, RequestLedger
 
 HANDSHAKE_WORK_NS = 25 * MILLISECOND_NS
-"""What a new connection costs its server."""
+"""Work that a new connection causes at its account server."""
 LOCAL_HOP_NS = 1 * MILLISECOND_NS
-"""One way within a zone."""
+"""One-way delay of the network within a zone."""
 REMOTE_HOP_NS = 8 * LOCAL_HOP_NS
-"""One way to another zone."""
+"""One-way delay of the network to another zone."""
 IDLE_TIMEOUT_NS = 54 * SECOND_NS
-"""For so long the network code keeps the last idle connection to an endpoint."""
+"""Time for which the network code keeps the last idle connection to an endpoint."""
 SURPLUS_IDLE_TIMEOUT_NS = 4 * SECOND_NS
-"""And for so long any further one."""
+"""Time for which the network code keeps any further idle connection to an endpoint."""
 
 
 @dataclass
 class ClientRequest:
-    """A client's request, over all of its tries."""
+    """A client's request, with all its tries: the first one and the client's retries."""
 
     arrived_at_ns: int
     key_hash: int
     work_ns: int
     expires_at_ns: int
     tries: int = 1
-    served_at_ns: int = 0  # 0: not served
+    served_at_ns: int = 0  # 0 if it was not served
 
 
 @dataclass(slots=True, kw_only=True)
 class ClientTry(OpenRequest):
-    """A try of a client that a sidecar holds."""
+    """A try of a client as a request that is open at a sidecar."""
 
     client_request: ClientRequest
 
 
 class Fleet(Protocol):
-    """What a sidecar needs of the fleet that it is part of."""
+    """The parts of the fleet simulation that a sidecar uses."""
 
     settings: Settings
     events: EventQueue
@@ -82,7 +82,7 @@
 
 
 class SimulatedAttempt:
-    """An attempt on its way to a server and back."""
+    """An attempt, with its way to an account server and back."""
 
     def __init__(self, sidecar: SimulatedSidecar, action: StartAttempt) -> None:
         self._sidecar = sidecar
@@ -96,7 +96,7 @@
         self._hop_ns = LOCAL_HOP_NS if is_local else REMOTE_HOP_NS
 
     def start(self) -> None:
-        """Take or open a connection and send the request."""
+        """Reuse or open a connection and send the request."""
         reuses_connection = self._sidecar.take_connection(self._server)
         if not reuses_connection and not self._server.accept_connection():
             self._sidecar.schedule(2 * LOCAL_HOP_NS, partial(self._end, AttemptOutcome.CONNECT_FAILED))
@@ -106,13 +106,13 @@
         time_left_ns = self._client_try.expires_at_ns - self._attempt.started_at_ns
         timeout_ns = min(time_left_ns, self._action.timeout_ns or time_left_ns)
         self._sidecar.schedule(timeout_ns, self._time_out)
-        # A new connection takes a round trip more.
+        # A new connection takes one more round trip.
         self._events.schedule(self._hop_ns if reuses_connection else 3 * self._hop_ns, self._arrive)
 
     def _arrive(self) -> None:
-        """Reach the server."""
+        """Reject the request if the queue of the account server is full, otherwise start the work for it."""
         if not self._server.is_up:
-            return  # it is silent: the attempt times out
+            return  # without a response the attempt times out
         if len(self._server.queue) >= self._server.queue_limit:
             self._events.schedule(self._hop_ns, partial(self._end, AttemptOutcome.REJECTED))
             return
@@ -121,7 +121,7 @@
         self._start_work(self._client_try.client_request.work_ns, return_response)
 
     def _end(self, outcome: AttemptOutcome) -> None:
-        """Return the connection and report the outcome, unless the sidecar no longer waits for it."""
+        """Release the connection; report the outcome unless the sidecar no longer waits for it."""
         is_same_incarnation = self._incarnation == self._sidecar.incarnation
         if is_same_incarnation and outcome == AttemptOutcome.SUCCESS:
             self._sidecar.idle_since_ns[self._server.id].append(self._events.now_ns)
@@ -131,7 +131,7 @@
             self._report(outcome)
 
     def _time_out(self) -> None:
-        """Stop waiting; the connection is closed when the server is done with it."""
+        """Stop waiting; the connection is closed when the account server has finished the work."""
         if self._is_awaited():
             self._report(AttemptOutcome.TIMEOUT)
 
@@ -149,17 +149,18 @@
 
 
 class SimulatedSidecar:
-    """A balancer with its connections."""
+    """A balancer with its connections to account servers."""
 
     def __init__(self, fleet: Fleet, settings: Settings) -> None:
         self.fleet = fleet
         self.settings = settings
-        self.idle_since_ns: dict[EndpointId, list[int]] = defaultdict(list)  # of each idle connection
+        self.idle_since_ns: dict[EndpointId, list[int]] = defaultdict(list)
+        """For each endpoint the times since when its idle connections are idle."""
         self.incarnation = 0
         self.start()
 
     def start(self) -> None:
-        """Begin from nothing, as after a restart."""
+        """Start with a new balancer and without connections, as after a restart."""
         for server in self.fleet.servers:
             server.connections -= len(self.idle_since_ns.pop(server.id, ()))
         self.ledger: RequestLedger[ClientTry] = RequestLedger()
@@ -170,16 +171,16 @@
         self.handle(EndpointUpdate(EndpointUpdateKind.CACHED, entries))
 
     def handle(self, event: Event) -> None:
-        """Deliver an event and carry out the actions that answer it."""
+        """Deliver an event and carry out the resulting actions."""
         for action in self.balancer.handle(self.fleet.events.now_ns, event):
             self._carry_out(action)
 
     def schedule(self, delay_ns: int, callback: Callback) -> None:
-        """Call back after a delay unless the sidecar is restarted before."""
+        """Schedule a callback after a delay; it is skipped if the sidecar restarts before."""
         self.fleet.events.schedule(delay_ns, partial(self._call_if_current, self.incarnation, callback))
 
     def receive(self, client_request: ClientRequest) -> None:
-        """Take a try of a client."""
+        """Receive a try of a client as a new request."""
         request_id = self.fleet.next_request_id()
         latest_ns = self.fleet.events.now_ns + self.fleet.client_timeout_ns
         expires_at_ns = min(client_request.expires_at_ns, latest_ns)
@@ -188,7 +189,7 @@
         self.handle(request_received(request_id, expires_at_ns, key_hash=client_request.key_hash))
 
     def take_connection(self, server: AccountServer) -> bool:
-        """Take an idle connection to a server, if there is one that has not timed out."""
+        """Take an idle connection that has not timed out; return whether there is one."""
         now_ns = self.fleet.events.now_ns
         idle = self.idle_since_ns[server.id]
         kept = [since_ns for since_ns in idle if since_ns > now_ns - IDLE_TIMEOUT_NS]
--- a/tests/policy/fleet_simulation.py
+++ b/tests/policy/fleet_simulation.py
@@ -1,7 +1,8 @@
-"""A fleet in simulated time: many balancers, without network code, in front of one set of servers.
+"""A fleet in simulated time: many balancers, without network code, in front of one set of account servers.
 
-Servers have cores, a queue, a limit on connections, handshakes that cost them work, and a slow start. Load is
-open-loop and drawn ahead, so that no decision slows it. One seed, one result.
+Account servers have cores, a queue, a limit on connections, handshakes that cost them work, and a slow start.
+The load is open-loop and drawn in advance, so that it does not depend on the decisions. The result depends on
+the seed alone.
 """
 
 from __future__ import annotations
@@ -21,7 +22,7 @@
 
 
 class FleetSimulation:
-    """Sidecars, servers and clients, and the queue of what is to happen next."""
+    """Sidecars, account servers and clients, and the queue of scheduled callbacks."""
 
     def __init__(
         self, settings: Settings, sidecar_count: int, servers: Iterable[AccountServer], seed: int = 1
@@ -34,38 +35,41 @@
         self.server_by_id = {server.id: server for server in self.servers}
         self.client_timeout_ns = settings.classes[0].client_timeout_ns
         self.client_retries = 0
-        """Further tries of a client that is rejected."""
+        """Number of times that a client retries a rejected request."""
         self.client_requests: list[ClientRequest] = []
         self.sidecars = [
             SimulatedSidecar(self, self._sidecar_settings(index, sidecar_count))
             for index in range(sidecar_count)
         ]
-        # Some send several times as much as others.
+        # Some sidecars get several times as many requests as others.
         self.sidecar_weights = [self.random.expovariate(1) + 0.25 for _ in self.sidecars]
 
     def next_request_id(self) -> int:
-        """Return an id that no request has had."""
+        """Return an id that no request has yet."""
         return next(self._request_ids)
 
     def schedule_at(self, seconds: float, callback: Callback) -> None:
-        """Call back so many seconds after the start."""
+        """Schedule a callback this many seconds after the start."""
         self.events.schedule_at(_time_ns(seconds), callback)
 
     def run_until(self, seconds: float) -> None:
-        """Play on to this many seconds after the start."""
+        """Run the simulation until this many seconds after the start."""
         self.events.run_until(_time_ns(seconds))
 
     def add_load(
         self, from_seconds: float, to_seconds: float, *, rate_per_second: float, work_ns: int, keys: int
     ) -> None:
-        """Draw requests ahead, over all sidecars, of exponential work, with some keys more frequent."""
+        """Draw the requests of a period in advance, over all sidecars.
+
+        Their work is exponentially distributed, and some keys are more frequent than others.
+        """
         seconds = from_seconds + self.random.expovariate(rate_per_second)
         while seconds < to_seconds:
             self._add_request(seconds, work_ns, keys)
             seconds += self.random.expovariate(rate_per_second)
 
     def restart_servers(self, servers: Iterable[AccountServer]) -> None:
-        """Restart servers; all sidecars learn of it at once."""
+        """Restart account servers; all sidecars are told immediately."""
         restarted = list(servers)
         for server in restarted:
             server.restart(self.events.now_ns)
@@ -76,7 +80,7 @@
     def retry_rejected(
         self, sidecar: SimulatedSidecar, client_request: ClientRequest, rejection: RejectRequest
     ) -> None:
-        """Let the client try again after a while, if it does and has the time."""
+        """Let the client retry after a delay, if it has retries and time left."""
         if client_request.tries > self.client_retries:
             return
         client_request.tries += 1
@@ -119,5 +123,5 @@
 
 
 def _time_ns(seconds: float) -> int:
-    """Return the time of the clock so many seconds after the start."""
+    """Return the reading of the clock this many seconds after the start."""
     return START_NS + int(seconds * SECOND_NS)
--- a/tests/policy/harness.py
+++ b/tests/policy/harness.py
@@ -1,4 +1,4 @@
-"""A `Balancer` under test with its clock."""
+"""The harness of the policy tests: a `Balancer` with a clock that the test advances."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 
 
 class BalancerHarness:
-    """Drives one `Balancer`: owns its clock, numbers its requests and completes its attempts."""
+    """Drives one `Balancer`: keeps its clock, numbers its requests and completes its attempts."""
 
     def __init__(self, settings: Settings, endpoint_count: int = 6, seed: int = 1) -> None:
         """Start a balancer with a cached list of the endpoints 1 to `endpoint_count`."""
@@ -74,7 +74,7 @@
         key_hash: int = 0,
         tenant_index: int = 0,
     ) -> Action:
-        """Deliver a request and return the one action that answers it: an attempt or a final answer."""
+        """Deliver a request and return the one resulting action: an attempt or a final response."""
         self.last_request_id += 1
         event = request_received(
             self.last_request_id,
@@ -89,7 +89,7 @@
     def start_attempt(
         self, class_index: int = 0, *, time_left_ns: int = 2 * SECOND_NS, key_hash: int = 0
     ) -> StartAttempt:
-        """Deliver a request that has to be sent to an endpoint."""
+        """Deliver a request and check that an attempt starts for it."""
         action = self.request(class_index, time_left_ns=time_left_ns, key_hash=key_hash)
         assert isinstance(action, StartAttempt), action
         return action
@@ -111,7 +111,11 @@
         return self.handle(event)
 
     def serve_request(self, class_index: int = 0, *, key_hash: int = 0) -> int:
-        """Deliver a request and let its attempt succeed; return the endpoint's number, or 0."""
+        """Deliver a request and let its attempt succeed.
+
+        Returns:
+            The number of the endpoint, or 0 if no attempt starts.
+        """
         action = self.request(class_index, key_hash=key_hash)
         if not isinstance(action, StartAttempt):
             return 0
@@ -119,7 +123,7 @@
         return endpoint_number(action.endpoint_id)
 
     def serve_requests(self, count: int, class_index: int = 0, *, first_key: int = 0) -> None:
-        """Serve several requests, with consecutive keys if there is a first one."""
+        """Serve several requests, with consecutive keys if a first key is given."""
         for offset in range(count):
             self.serve_request(class_index, key_hash=first_key and first_key + offset)
 
@@ -141,7 +145,7 @@
         request_finished: bool = False,
         request: RequestState | None = None,
     ) -> None:
-        """Record the outcome of an attempt, by default one whose request already had its final answer."""
+        """Record the outcome of an attempt, by default one whose request already had its final response."""
         event = attempt_completed(0, target.id, outcome, duration_ns, request_finished=request_finished)
         self.balancer.outcomes.record(target, event, request, self.now_ns)
 
@@ -161,7 +165,7 @@
 
     @property
     def subset(self) -> list[EndpointState]:
-        """The subset in use of the local zone."""
+        """The current subset of the local zone."""
         return self.balancer.subsets.local.members
 
     @property
--- a/tests/policy/invariant_steps.py
+++ b/tests/policy/invariant_steps.py
@@ -1,4 +1,4 @@
-"""The legal things that may happen to a sidecar, as steps that Hypothesis draws."""
+"""The legal events of a sidecar, as steps that Hypothesis draws."""
 
 from __future__ import annotations
 
@@ -38,13 +38,15 @@
 
 
 class Step(Protocol):
-    """One legal thing that may happen to a sidecar."""
+    """A step of a test: delivers legal events to a sidecar or advances the clock."""
 
     def apply(self, checker: InvariantChecker) -> None: ...
 
 
 @dataclass(frozen=True)
 class ReceiveRequest:
+    """Delivers a request of a class."""
+
     class_choice: int
     time_left_ms: int
 
@@ -66,6 +68,8 @@
 
 @dataclass(frozen=True)
 class CompleteAttempt:
+    """Ends an attempt in flight with an outcome."""
+
     choice: int
     outcome: AttemptOutcome
 
@@ -76,6 +80,8 @@
 
 @dataclass(frozen=True)
 class DisconnectClient:
+    """Disconnects the client of a request with an attempt in flight."""
+
     choice: int
 
     def apply(self, checker: InvariantChecker) -> None:
@@ -86,6 +92,8 @@
 
 @dataclass(frozen=True)
 class StartStream:
+    """Starts the stream of a response, and then resets its connection."""
+
     choice: int
 
     def apply(self, checker: InvariantChecker) -> None:
@@ -96,6 +104,8 @@
 
 @dataclass(frozen=True)
 class CompleteHealthCheck:
+    """Completes a pending health check with an outcome."""
+
     choice: int
     outcome: AttemptOutcome
 
@@ -107,6 +117,8 @@
 
 @dataclass(frozen=True)
 class UpdateEndpoints:
+    """Delivers an endpoint list or a delta."""
+
     kind: EndpointUpdateKind
     entries: list[Endpoint]
 
@@ -117,12 +129,16 @@
 
 @dataclass(frozen=True)
 class FailDiscovery:
+    """Reports a failed call to discovery."""
+
     def apply(self, checker: InvariantChecker) -> None:
         checker.handle(EndpointUpdate(EndpointUpdateKind.DISCOVERY_FAILED, ()))
 
 
 @dataclass(frozen=True)
 class AdvanceClock:
+    """Advances the clock."""
+
     milliseconds: int
 
     def apply(self, checker: InvariantChecker) -> None:
@@ -131,12 +147,16 @@
 
 @dataclass(frozen=True)
 class FirePeriodicTimer:
+    """Fires the periodic timer of the control cycle, whether or not it is due."""
+
     def apply(self, checker: InvariantChecker) -> None:
         checker.handle(TimerFired(0))
 
 
 @dataclass(frozen=True)
 class ReceiveGossip:
+    """Delivers gossip with arbitrary bytes."""
+
     payload: bytes
 
     def apply(self, checker: InvariantChecker) -> None:
@@ -145,13 +165,15 @@
 
 @dataclass(frozen=True)
 class RestartBalancer:
+    """Restarts the balancer, which loses its state."""
+
     def apply(self, checker: InvariantChecker) -> None:
         checker.restart_balancer()
 
 
 @dataclass(frozen=True)
 class DeliverStrayEvents:
-    """Events that fit nothing the balancer holds."""
+    """Delivers events for requests and timers that the balancer does not know."""
 
     number: int
     outcome: AttemptOutcome
--- a/tests/policy/listed_endpoints.py
+++ b/tests/policy/listed_endpoints.py
@@ -1,4 +1,4 @@
-"""The endpoint list as the caller of a balancer has sent it, and which endpoints may be used by it."""
+"""The endpoint list that was delivered to a balancer, and which endpoints it allows to be used."""
 
 from __future__ import annotations
 
@@ -8,24 +8,24 @@
 from balancer.time_units import SECOND_NS
 
 NOT_READY_GRACE_NS = SECOND_NS // 2
-"""How long an endpoint may still be used after the list called it draining or removed."""
+"""Time for which an endpoint may still be used after the list declared it draining or removed."""
 
 
 class ListedHealth(NamedTuple):
-    """The health of an endpoint by the list, and since when."""
+    """The health of an endpoint according to the list, and since when."""
 
     health: EndpointHealth
     since_ns: int
 
 
 class ListedEndpoints:
-    """The health of each endpoint by the lists sent to one balancer."""
+    """The health of each endpoint according to the lists that were delivered to one balancer."""
 
     def __init__(self) -> None:
         self.health_by_id: dict[EndpointId, ListedHealth] = {}
 
     def apply(self, kind: EndpointUpdateKind, entries: list[Endpoint], now_ns: int) -> None:
-        """Record a list or changes of it."""
+        """Record a complete list, or the changes of a delta."""
         for entry in entries:
             before = self.health_by_id.get(entry.id)
             if before is None or entry.health != before.health:
@@ -35,7 +35,7 @@
                 self._remove(missing_id, now_ns)
 
     def check_may_be_used(self, identifier: EndpointId, now_ns: int) -> None:
-        """Check that an endpoint is listed as ready, or was so until just now."""
+        """Check that an endpoint is listed as ready, or was so within `NOT_READY_GRACE_NS`."""
         health, since_ns = self.health_by_id[identifier]
         assert health == EndpointHealth.READY or now_ns - since_ns <= NOT_READY_GRACE_NS
 
--- a/tests/policy/phased_servers.py
+++ b/tests/policy/phased_servers.py
@@ -1,4 +1,4 @@
-"""The servers of a characterisation: some or all of them are in trouble for a phase, then others."""
+"""The account servers of a characterization test: in each phase some or all of them have a fault."""
 
 from __future__ import annotations
 
@@ -12,26 +12,26 @@
 
 SERVER_COUNT = 14
 AFFECTED_COUNTS = (2, 4, 8)
-"""How many servers a phase may affect."""
+"""Numbers of account servers that a phase may affect."""
 HEALTH_CHECK_FAILURES = (AttemptOutcome.TIMEOUT, AttemptOutcome.REJECTED, AttemptOutcome.CONNECT_FAILED)
 PHASES_THAT_FAIL_HEALTH_CHECKS = (Phase.UNREACHABLE, Phase.UNRESPONSIVE, Phase.REJECTING)
 
 
 class ServerResponse(NamedTuple):
-    """What becomes of an attempt or a health check, and after which time if nobody ends it before."""
+    """The outcome of an attempt or a health check, and when it ends unless the sidecar ends it before."""
 
     outcome: AttemptOutcome
     duration_ns: int
 
 
 NO_RESPONSE = ServerResponse(AttemptOutcome.SUCCESS, 60 * SECOND_NS)
-"""A reply after any client has given up."""
+"""A response so late that every client has given up before."""
 
 
 class PhasedServers:
-    """The servers with their entries in the endpoint list, and the phase they are in.
+    """The account servers with their entries in the endpoint list, and their current phase.
 
-    The results depend on the order of the random draws, which the recorded digests fix.
+    The responses depend on the order of the random draws, which must stay the same for the recorded digests.
     """
 
     def __init__(self, zone_count: int, phases: tuple[Phase, ...], random: Random) -> None:
@@ -45,16 +45,16 @@
 
     @property
     def entries(self) -> tuple[Endpoint, ...]:
-        """All entries of the endpoint list, those of removed servers as well."""
+        """All entries of the endpoint list, including those of removed endpoints."""
         return tuple(self._entry_by_number.values())
 
     @property
     def present_entries(self) -> tuple[Endpoint, ...]:
-        """The entries of the servers that are not removed."""
+        """The entries of the endpoints that are not removed."""
         return tuple(entry for entry in self.entries if entry.health != EndpointHealth.REMOVED)
 
     def change_phase(self, now_ns: int) -> list[Endpoint]:
-        """Draw the next phase and the servers that it affects; return the entries that have changed."""
+        """Draw the next phase and the account servers that it affects; return the changed entries."""
         self.phase = self._random.choice(self._phases)
         affected_numbers = self._random.sample(
             sorted(self._entry_by_number), self._random.choice(AFFECTED_COUNTS)
@@ -69,7 +69,7 @@
         return changed_entries
 
     def respond_to_attempt(self, identifier: EndpointId, class_index: int) -> ServerResponse:
-        """Draw what becomes of an attempt."""
+        """Draw the response to an attempt."""
         usual_ns = int(self._random.expovariate(1) * 30 * MILLISECOND_NS) + 5 * MILLISECOND_NS
         if self.phase == Phase.OVERLOAD:
             usual_ns *= 8
@@ -81,14 +81,14 @@
         return ServerResponse(AttemptOutcome.SUCCESS if is_success else AttemptOutcome.SERVER_ERROR, usual_ns)
 
     def respond_to_health_check(self, identifier: EndpointId) -> ServerResponse:
-        """Draw what becomes of a health check."""
+        """Draw the response to a health check."""
         duration_ns = self._random.randrange(1 * MILLISECOND_NS, 8 * MILLISECOND_NS)
         if identifier in self._affected_ids and self.phase in PHASES_THAT_FAIL_HEALTH_CHECKS:
             return ServerResponse(self._random.choice(HEALTH_CHECK_FAILURES), 100 * MILLISECOND_NS)
         return ServerResponse(AttemptOutcome.SUCCESS, duration_ns)
 
     def _entry_in_phase(self, entry: Endpoint, now_ns: int) -> Endpoint | None:
-        """Return the entry of a server as it is in the phase that begins, or None if it stays."""
+        """Return the changed entry of an account server for the new phase, or None if it does not change."""
         is_affected = entry.id in self._affected_ids
         if self.phase == Phase.DRAIN and is_affected:
             health = self._random.choice((EndpointHealth.DRAINING, EndpointHealth.REMOVED))
--- a/tests/policy/request_ledger.py
+++ b/tests/policy/request_ledger.py
@@ -1,4 +1,4 @@
-"""The books that the drivers of a `Balancer` keep on its open requests and their attempts."""
+"""The records that the test drivers of a `Balancer` keep of its open requests and their attempts."""
 
 from __future__ import annotations
 
@@ -11,31 +11,31 @@
 
 @dataclass(slots=True)
 class AttemptInFlight:
-    """An attempt that has started and not ended."""
+    """An attempt that has started but not ended."""
 
     index: int
-    """The number of the attempt within its request, from 0."""
+    """The index of the attempt within its request, from 0."""
     endpoint_id: EndpointId
     started_at_ns: int
 
 
 @dataclass(slots=True)
 class OpenRequest:
-    """A request that needs its final answer or has an attempt in flight."""
+    """A request that still needs its final response or has an attempt in flight."""
 
     class_index: int
     expires_at_ns: int
     attempt_count: int = 0
     attempt: AttemptInFlight | None = None
     is_answered: bool = False
-    """Whether no final answer is owed any more."""
+    """Whether the request needs no final response any more."""
 
 
 RequestT = TypeVar("RequestT", bound=OpenRequest)
 
 
 class RequestLedger(Generic[RequestT]):
-    """The open requests of one balancer by id, in the order of their arrival."""
+    """The open requests of one balancer, by id and in the order of their arrival."""
 
     def __init__(self) -> None:
         self.requests: dict[int, RequestT] = {}
@@ -53,7 +53,7 @@
         return attempt
 
     def attempt_of(self, request_id: int) -> AttemptInFlight | None:
-        """Return the attempt in flight of a request, if the request is open and has one."""
+        """Return the attempt in flight of a request, or None if the request is not open or has none."""
         request = self.requests.get(request_id)
         return request.attempt if request is not None else None
 
@@ -61,7 +61,7 @@
         """Record the end of the attempt in flight, and return the event for the balancer."""
         request = self.requests[request_id]
         attempt = request.attempt
-        assert attempt is not None, "no attempt in flight"
+        assert attempt is not None, "the request has no attempt in flight"
         request.attempt = None
         if outcome == AttemptOutcome.SUCCESS:
             request.is_answered = True
@@ -76,7 +76,7 @@
         )
 
     def finish(self, request_id: int) -> RequestT:
-        """Record that a request needs no final answer any more. Raises KeyError if it is not open."""
+        """Record that a request needs no final response any more. Raises KeyError if it is not open."""
         request = self.requests[request_id]
         request.is_answered = True
         self._forget_if_ended(request_id)
--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -1,4 +1,4 @@
-"""Tests of `balancer.policy.overload.admission`: priorities, the arrivals by level and the threshold."""
+"""Tests of `balancer.policy.overload.admission`: priorities, arrivals by level, admission threshold."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
     assert position_in_level == 0.5
 
 
-def test_user_levels_agree_between_instances_and_change_hourly() -> None:
+def test_user_levels_agree_between_sidecars_and_change_hourly() -> None:
     one = BalancerHarness(two_priority_settings(instance_index=1, instance_count=9))
     other = BalancerHarness(two_priority_settings(instance_index=2, instance_count=9))
 
@@ -46,8 +46,11 @@
     assert 80 <= rejected <= 120
 
 
-def test_keyed_and_keyless_traffic_of_one_class_is_shed_by_one_share(harness: BalancerHarness) -> None:
-    """Both lie over the same levels: taken one after the other, a quarter to shed would come to half."""
+def test_keyed_and_keyless_traffic_of_one_class_is_rejected_by_one_share(harness: BalancerHarness) -> None:
+    """The same levels hold both kinds of traffic.
+
+    If the threshold passed their arrivals one after the other, it would reject half instead of a quarter.
+    """
     control = harness.balancer.admission
     harness.serve_requests(400, first_key=1000)
     harness.serve_requests(400)
@@ -60,14 +63,14 @@
     assert control.threshold == pytest.approx(0.5 * priority_levels.USER_LEVELS, abs=5)
 
 
-def test_lowest_priority_is_shed_first(harness: BalancerHarness) -> None:
+def test_lowest_priority_is_rejected_first(harness: BalancerHarness) -> None:
     harness.serve_requests(50)
     harness.serve_requests(50, class_index=1)
     harness.balancer.admission.raise_threshold(0.5)
     assert harness.threshold == pytest.approx(priority_levels.USER_LEVELS, abs=1)
 
 
-def test_threshold_never_sheds_everything(harness: BalancerHarness) -> None:
+def test_threshold_never_rejects_everything(harness: BalancerHarness) -> None:
     harness.serve_requests(50, class_index=1)
     for _ in range(50):
         harness.balancer.admission.raise_threshold(0.5)
@@ -76,7 +79,7 @@
 
 
 def test_threshold_falls_by_share_of_arrivals_and_at_least_one_level(harness: BalancerHarness) -> None:
-    """A share of the admitted traffic alone would keep a high threshold up for minutes."""
+    """A high threshold would take minutes to fall by shares of the admitted traffic alone."""
     control = harness.balancer.admission
     harness.serve_requests(100)
     control.threshold = 120.0
@@ -93,8 +96,11 @@
 
 
 @pytest.mark.parametrize("tenants", [(), tuple(Tenant(name, 100.0) for name in "abc")])
-def test_keyless_instances_shed_smoothly_as_a_fleet(tenants: tuple[Tenant, ...]) -> None:
-    """Without keys an instance has one user level; tenants must not put a third of the fleet on one level."""
+def test_keyless_traffic_is_rejected_evenly_over_the_fleet(tenants: tuple[Tenant, ...]) -> None:
+    """Requests without keys have one user level for each sidecar and tenant.
+
+    If the level depended on the tenant alone, each of three tenants would put a third of the traffic on one.
+    """
 
     def is_admitted(instance_index: int, threshold: int) -> bool:
         config = settings(instance_index=instance_index, instance_count=200, tenants=tenants)
--- a/tests/policy/test_arrival_histogram.py
+++ b/tests/policy/test_arrival_histogram.py
@@ -8,7 +8,7 @@
 from balancer.policy.overload.priority_levels import USER_LEVELS
 
 
-def test_arrivals_without_keys_are_one_range_where_there_are_no_keys() -> None:
+def test_arrivals_without_keys_are_one_range_if_their_business_level_has_no_keys() -> None:
     histogram = ArrivalHistogram(business_level_count=2)
     histogram.record_keyless(0)
     histogram.record_keyed(USER_LEVELS + 3)
--- a/tests/policy/test_balancer.py
+++ b/tests/policy/test_balancer.py
@@ -1,4 +1,4 @@
-"""Tests of `balancer.policy.balancer`: requests that need no final answer."""
+"""Tests of `balancer.policy.balancer`: requests that need no final response."""
 
 from __future__ import annotations
 
--- a/tests/policy/test_characterization.py
+++ b/tests/policy/test_characterization.py
@@ -1,12 +1,12 @@
-"""Characterisation of the decisions: the same settings, seed and events give the same actions, bit for bit.
+"""Characterization of the policy: the same settings, seed and events give the same actions, bit for bit.
 
-A seeded driver plays clients, servers, discovery and other sidecars against the decision module. Every action
-is reduced to its position in ACTION_TYPES and to plain numbers and bytes, so that renaming or moving code can
-not change the digest of the stream. The digests in digests.json were recorded with CPython 3.11 by
+A seeded driver simulates clients, account servers, discovery and other sidecars for the policy. Every action
+is reduced to its position in ACTION_TYPES and to plain numbers and bytes, so that renaming or moving code
+cannot change the digest of the stream. The digests in digests.json were recorded with CPython 3.11 by
 
     python -m tests.policy.test_characterization > tests/policy/digests.json
 
-and change only together with a decision.
+They change only when a decision of the policy changes.
 """
 
 from __future__ import annotations
--- a/tests/policy/test_control_cycle.py
+++ b/tests/policy/test_control_cycle.py
@@ -1,4 +1,4 @@
-"""Tests of `balancer.policy.overload.control_cycle`: when a cycle ends."""
+"""Tests of `balancer.policy.overload.control_cycle`: when a measurement cycle ends."""
 
 from __future__ import annotations
 
--- a/tests/policy/test_fleet.py
+++ b/tests/policy/test_fleet.py
@@ -1,4 +1,4 @@
-"""Tests of a fleet in simulated time: what is harmless in one sidecar may add up to harm over many."""
+"""Tests of a fleet in simulated time: load that is acceptable from one sidecar may add up over many."""
 
 from __future__ import annotations
 
@@ -32,11 +32,11 @@
     cold_overload_multiple=3.0,
 )
 BUDGET_WINDOW_NS = 3 * SECOND_NS
-"""The time over which the attempts to a warming server are summed up."""
+"""Window over which the attempts to a warming account server are counted."""
 
 
 class RestartCase(Enum):
-    """Which servers restart, and what goes wrong besides."""
+    """Which account servers restart, and which other fault occurs."""
 
     FOUR_SERVERS = "four servers"
     ALL_SERVERS = "all servers"
@@ -48,9 +48,10 @@
 
 
 def peak_budget_share(fleet: FleetSimulation, server: AccountServer) -> float:
-    """Return the most attempts in any window while a server warms up, as a share of its budget.
+    """Return the most attempts in any window while an account server warms up, as a share of its budget.
 
-    The budget is the multiple of its capacity that the settings allow, with a little for chance.
+    The budget is the multiple of its capacity that the settings allow, plus two standard deviations and two
+    attempts for random variation.
     """
     peak = 0.0
     window = deque[int]()
@@ -67,7 +68,7 @@
 
 
 def simulate_restart(case: RestartCase, sidecar_count: int) -> tuple[FleetSimulation, list[AccountServer]]:
-    """Load twelve servers with seven tenths of their capacity; some restart after four seconds."""
+    """Load twelve account servers with seven tenths of their capacity; some restart after four seconds."""
     zone_count = 3 if case == RestartCase.ONE_SERVER_IN_THREE_ZONES else 1
     servers = [AccountServer(number, zone=number % zone_count, connection_limit=200) for number in range(1, 13)]
     config = replace(RESTART_SETTINGS, zone_count=zone_count)
@@ -96,7 +97,10 @@
 
 @pytest.mark.parametrize("seed", [1, 2])
 def test_fleet_recovers_from_a_burst_within_its_connection_limits(seed: int) -> None:
-    """With keys and grown subsets each sidecar could reach each server and fill the connection tables."""
+    """With keys and grown subsets each sidecar could connect to each account server.
+
+    Together they would fill the connection tables of the account servers.
+    """
     fleet = FleetSimulation(BURST_SETTINGS, 90, [AccountServer(number) for number in range(1, 41)], seed)
     fleet.client_retries = 1
     usual_rate = 0.7 * 40 * 3 / 0.1
@@ -113,7 +117,7 @@
 @pytest.mark.parametrize("sidecar_count", [2, 8, 20, 30])
 @pytest.mark.parametrize("case", RestartCase)
 def test_attempts_to_warming_servers_keep_to_their_budget(case: RestartCase, sidecar_count: int) -> None:
-    """Each sidecar may keep to its part, and all together overload a server all the same."""
+    """The sidecars may overload a warming account server together even if each limits its own attempts."""
     fleet, restarted = simulate_restart(case, sidecar_count)
     assert max(peak_budget_share(fleet, server) for server in restarted) < 0.6
     assert all(server.attempt_times_ns for server in restarted)
@@ -121,7 +125,7 @@
 
 @pytest.mark.parametrize("sidecar_count", [2, 30])
 def test_servers_that_restart_together_are_used_by_their_capacity(sidecar_count: int) -> None:
-    """At a minimum rate each they would idle, and hardly a request would be answered in time."""
+    """With only a minimum rate of attempts to each they would be idle, and few requests answered in time."""
     fleet, restarted = simulate_restart(RestartCase.ALL_SERVERS, sidecar_count)
     assert fleet.share_answered_in_time(5, 9) > 0.15
     assert min(len(server.attempt_times_ns) for server in restarted) > 40
--- a/tests/policy/test_gossip.py
+++ b/tests/policy/test_gossip.py
@@ -1,4 +1,4 @@
-"""Tests of `balancer.policy.overload.gossip`: what instances share, and messages that are no messages."""
+"""Tests of `balancer.policy.overload.gossip`: what sidecars share, and malformed messages."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 from tests.policy.harness import BalancerHarness, actions_of
 
 
-def test_instances_share_evidence_and_the_threshold() -> None:
-    """So an instance that was restarted takes up the threshold of the others."""
+def test_sidecars_share_evidence_and_the_threshold() -> None:
+    """A restarted sidecar takes over the threshold of the others."""
     running = BalancerHarness(two_priority_settings(gossip_enabled=True, instance_count=2, instance_index=0))
     restarted = BalancerHarness(
         two_priority_settings(gossip_enabled=True, instance_count=2, instance_index=1)
@@ -28,7 +28,7 @@
 
 
 @pytest.mark.parametrize("payload", [b"", b"x" * 5, b"\xff" * 256, bytes(range(200))])
-def test_malformed_payload_does_no_harm(payload: bytes) -> None:
+def test_malformed_payload_is_ignored(payload: bytes) -> None:
     harness = BalancerHarness(two_priority_settings(gossip_enabled=True, instance_count=2))
     harness.handle(GossipReceived(1, payload))
     message_bytes = harness.balancer.gossip.codec.message_bytes
--- a/tests/policy/test_hashing.py
+++ b/tests/policy/test_hashing.py
@@ -1,4 +1,4 @@
-"""Tests of `balancer.policy.hashing`."""
+"""Tests of `balancer.policy.hashing`: the hash matches its publication."""
 
 from __future__ import annotations
 
--- a/tests/policy/test_invariants.py
+++ b/tests/policy/test_invariants.py
@@ -1,4 +1,4 @@
-"""Arbitrary legal events, with an independent checker of the invariants that a single sidecar has to keep."""
+"""Tests with arbitrary legal events, whose results an independent checker compares with the invariants."""
 
 from __future__ import annotations
 
--- a/tests/policy/test_overload.py
+++ b/tests/policy/test_overload.py
@@ -18,7 +18,7 @@
 
 
 def complete_slowly(harness: BalancerHarness, outcome: AttemptOutcome, count: int = 30) -> None:
-    """Serve some requests well, then end many attempts at once with this outcome after 400 ms."""
+    """Serve some requests quickly, then end many attempts at once with this outcome after 400 ms."""
     harness.serve_requests(10)
     harness.tick()
     attempts = [harness.start_attempt() for _ in range(count)]
@@ -33,8 +33,8 @@
     return harness
 
 
-def test_answer_that_took_no_time_is_taken_in(harness: BalancerHarness) -> None:
-    """A clock may not have moved on between an attempt and its answer."""
+def test_response_that_took_no_time_is_accepted(harness: BalancerHarness) -> None:
+    """With a coarse clock an attempt may start and end at the same reading."""
     attempt = harness.start_attempt()
     harness.complete(attempt, AttemptOutcome.SUCCESS, 0)
     assert not harness.balancer.requests
@@ -53,7 +53,7 @@
     [AttemptOutcome.CONNECT_FAILED, AttemptOutcome.CONNECTION_RESET, AttemptOutcome.SERVER_ERROR],
 )
 def test_failures_of_endpoints_are_no_overload(outcome: AttemptOutcome) -> None:
-    """Failed connects of a few dead endpoints must not shed what the others can serve."""
+    """Failures at a few broken endpoints must not cause rejections of what the others can serve."""
     harness = BalancerHarness(two_priority_settings(max_attempts=1))
     complete_slowly(harness, outcome)
     assert harness.threshold == 0
@@ -62,7 +62,7 @@
 def time_out_many_attempts(
     harness: BalancerHarness, timeout_ns: int | None = None, *, clients_disconnect: bool = False
 ) -> None:
-    """Let sixty attempts time out, by default in the time that an answer takes without any queue."""
+    """Let sixty attempts time out, by default in the time that a response takes without queueing."""
     harness.serve_requests(40)
     harness.tick()
     if timeout_ns is None:
@@ -76,7 +76,7 @@
 
 
 @pytest.mark.parametrize("clients_disconnect", [False, True])
-def test_timeouts_shorter_than_an_answer_are_no_overload_and_eject_nothing(clients_disconnect: bool) -> None:
+def test_timeouts_shorter_than_a_response_are_no_overload_and_eject_nothing(clients_disconnect: bool) -> None:
     harness = BalancerHarness(two_priority_settings(max_attempts=1))
     time_out_many_attempts(harness, clients_disconnect=clients_disconnect)
     ejected = harness.ejected_endpoints
@@ -95,7 +95,7 @@
     assert ejected
 
 
-def test_single_late_answer_is_no_overload(harness: BalancerHarness) -> None:
+def test_single_late_response_is_no_overload(harness: BalancerHarness) -> None:
     harness.serve_requests(20)
     for _ in range(30):
         harness.tick()
@@ -104,7 +104,7 @@
     assert harness.threshold == 0
 
 
-def test_running_attempts_show_overload_before_their_answers(harness: BalancerHarness) -> None:
+def test_attempts_in_flight_show_overload_before_their_responses(harness: BalancerHarness) -> None:
     harness.serve_requests(20)
     harness.tick()
     for _ in range(20):
@@ -117,7 +117,7 @@
 
 @pytest.mark.parametrize(("streams_per_connection", "new_connections"), [(1, 18), (100, 6)])
 def test_time_to_connect_is_no_queueing_delay(streams_per_connection: int, new_connections: int) -> None:
-    """At a start all connections are new, and the first answers over them take longer."""
+    """Just after a start all connections are new, and the first responses over them take longer."""
     harness = BalancerHarness(two_priority_settings(streams_per_connection=streams_per_connection))
     attempts = [harness.start_attempt() for _ in range(18)]
     requests = harness.balancer.requests
@@ -128,7 +128,7 @@
     assert harness.threshold == 0
 
 
-def test_slow_answers_over_used_connections_raise_the_threshold(harness: BalancerHarness) -> None:
+def test_slow_responses_over_used_connections_raise_the_threshold(harness: BalancerHarness) -> None:
     for attempt in [harness.start_attempt() for _ in range(18)]:
         harness.complete(attempt, duration_ns=100 * MILLISECOND_NS)
     for _ in range(9):
@@ -149,8 +149,8 @@
     assert harness.threshold > 0
 
 
-@pytest.mark.parametrize(("remote_attempts", "sheds"), [(30, True), (0, False)])
-def test_delays_of_a_zone_count_by_its_share_of_attempts(remote_attempts: int, sheds: bool) -> None:
+@pytest.mark.parametrize(("remote_attempts", "rejects"), [(30, True), (0, False)])
+def test_delays_of_a_zone_count_by_its_share_of_attempts(remote_attempts: int, rejects: bool) -> None:
     harness = two_local_and_seven_remote_endpoints()
     for _ in range(40):
         harness.start_attempt()
@@ -162,7 +162,7 @@
     ]
     detector.spillover.ratio = 0.0
     harness.balancer.control_cycle.update_admission_and_spillover(harness.now_ns)
-    assert (harness.threshold > 0) is sheds
+    assert (harness.threshold > 0) is rejects
 
 
 def test_attempts_are_counted_by_zone() -> None:
@@ -173,8 +173,8 @@
     assert counts.remote == sum(endpoint_number(attempt.endpoint_id) > 2 for attempt in attempts)
 
 
-def test_late_answers_while_queues_drain_do_not_raise_the_threshold(harness: BalancerHarness) -> None:
-    """While queues drain there are more answers than attempts, and the answers to old attempts are late."""
+def test_late_responses_while_queues_shorten_do_not_raise_the_threshold(harness: BalancerHarness) -> None:
+    """While queues shorten there are more responses than attempts, and those to old attempts are late."""
     balancer = harness.balancer
     balancer.overload.queueing.evidence[0] = QueueingEvidence(
         delay_sum=20.0, sample_count=20.0, attempt_count=10.0, answer_count=20.0
--- a/tests/policy/test_retry.py
+++ b/tests/policy/test_retry.py
@@ -1,4 +1,4 @@
-"""Tests of `balancer.policy.requests.retry`: which attempts may be repeated, where, and how often."""
+"""Tests of `balancer.policy.requests.retry`: which requests are retried, where, and how often."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 @pytest.mark.parametrize(
     "outcome", [outcome for outcome in AttemptOutcome if outcome != AttemptOutcome.SUCCESS]
 )
-def test_answer_to_a_failure_depends_on_idempotency(
+def test_action_after_a_failure_depends_on_idempotency(
     idempotency: Idempotency, outcome: AttemptOutcome
 ) -> None:
     harness = BalancerHarness(
@@ -37,7 +37,7 @@
     if outcome == AttemptOutcome.NOT_SENT:
         assert isinstance(action, RejectRequest)
     elif outcome == AttemptOutcome.CLIENT_ERROR:
-        # No other endpoint would take it; a rejection says that a repeat does no harm.
+        # Any other endpoint would find the request invalid too; a rejection promises that a retry is safe.
         is_idempotent = idempotency == Idempotency.IDEMPOTENT
         assert isinstance(action, RejectRequest if is_idempotent else FailRequest)
     elif idempotency == Idempotency.NOT_IDEMPOTENT and outcome not in OUTCOMES_NEVER_EXECUTED:
@@ -74,8 +74,8 @@
     assert isinstance(second, StartAttempt)
     first_number, second_number = endpoint_number(first.endpoint_id), endpoint_number(second.endpoint_id)
     assert second_number % group_count == first_number % group_count
-    _, answer = fail_attempt_after(250 * MILLISECOND_NS)
-    assert isinstance(answer, FailRequest)  # a rejection would promise that a repeat does no harm
+    _, response = fail_attempt_after(250 * MILLISECOND_NS)
+    assert isinstance(response, FailRequest)  # a rejection would promise that a retry is safe
 
 
 def test_retries_keep_to_the_budget_and_stop_during_overload() -> None:
@@ -84,8 +84,8 @@
     for _ in range(200):
         attempt = harness.start_attempt()
         harness.now_ns += 5 * MILLISECOND_NS
-        answer = harness.complete(attempt, AttemptOutcome.SERVER_ERROR, 5 * MILLISECOND_NS)
-        retries += len(actions_of(StartAttempt, answer))
+        actions = harness.complete(attempt, AttemptOutcome.SERVER_ERROR, 5 * MILLISECOND_NS)
+        retries += len(actions_of(StartAttempt, actions))
     assert 0 < retries <= 200 * retry.TOKENS_PER_REQUEST + retry.BUCKET_CAPACITY + 1
     harness.balancer.overload.queueing_delay = 9.0
     harness.balancer.retry.tokens = 5.0
@@ -93,9 +93,9 @@
 
 
 def test_client_retry_that_comes_too_late_is_rejected(harness: BalancerHarness) -> None:
-    """Its answer would be worth nothing, and it would take capacity from requests that are in time."""
+    """Its response would be worth nothing, and it would take capacity from requests that are in time."""
     harness.complete(harness.start_attempt(time_left_ns=1500 * MILLISECOND_NS))
-    # One of two seconds has gone, and the latency objective is half a second.
+    # The client has waited one of its two seconds, and the latency objective is half a second.
     expires_at_ns = harness.now_ns + 1000 * MILLISECOND_NS
     late_retry = request_received(900, expires_at_ns, is_retry=True)
     assert isinstance(harness.handle(late_retry)[0], RejectRequest)
--- a/tests/policy/test_spillover.py
+++ b/tests/policy/test_spillover.py
@@ -39,7 +39,7 @@
 
 
 def test_remote_connect_failures_reduce_spillover() -> None:
-    """A zone that is cut off shows no delays: by the difference in delay alone it would draw ever more."""
+    """An unreachable zone shows no delays, so by these alone it would get more and more traffic."""
     harness = BalancerHarness(settings(zone_count=2), endpoint_count=0)
     harness.update_endpoints(*(endpoint(number, zone=number % 2) for number in range(1, 17)))
     harness.balancer.overload.spillover.ratio = 1.0
--- a/tests/policy/test_timer_tokens.py
+++ b/tests/policy/test_timer_tokens.py
@@ -1,4 +1,4 @@
-"""Tests of `balancer.policy.timer_tokens`: the integers of the timers."""
+"""Tests of `balancer.policy.timer_tokens`: which integers stand for which timers."""
 
 from __future__ import annotations
 
