--- a/balancer/policy/balancer.py
+++ b/balancer/policy/balancer.py
@@ -132,7 +132,7 @@
         }
 
     def _on_started(self, now_ns: int, _event: api.Started) -> None:
-        self.overload.cycle.started_at_ns = now_ns
+        self.overload.measurement_cycle.started_at_ns = now_ns
         self.membership.polling.schedule(now_ns)
         delay_ns = 1 + int(self.random.random() * CYCLE_NS)
         self._actions.append(api.SetTimer(delay_ns, CONTROL_CYCLE_TOKEN))
@@ -151,7 +151,7 @@
             return
         self._actions.append(api.SetTimer(CYCLE_NS, CONTROL_CYCLE_TOKEN))
         self._actions += self.maintenance.run(self.overload.is_overloaded, now_ns)
-        self.control_cycle.end(now_ns)
+        self.control_cycle.run(now_ns)
 
     def _on_response_not_needed(self, _now_ns: int, event: api.ClientDisconnected | api.StreamStarted) -> None:
         """Forget a request that needs no final response; a stream has no deadline and is never retried."""
--- a/balancer/policy/overload/control_cycle.py
+++ b/balancer/policy/overload/control_cycle.py
@@ -35,15 +35,15 @@
         self._budget = budget
         self._running_attempts = running_attempts
 
-    def end_if_attempt_limit_reached(self, now_ns: int) -> None:
-        """End the measurement cycle if its attempts have reached the limit.
+    def run_if_attempt_limit_reached(self, now_ns: int) -> None:
+        """Run a control cycle if the attempts of the measurement cycle have reached the limit.
 
-        If there were too few samples then, each further multiple of the limit tries again.
+        If there are too few samples then, it runs again at each further multiple of the limit.
         """
-        if self._overload.cycle.attempt_count % MAX_ATTEMPTS_PER_CYCLE == 0:
-            self.end(now_ns)
+        if self._overload.measurement_cycle.attempt_count % MAX_ATTEMPTS_PER_CYCLE == 0:
+            self.run(now_ns)
 
-    def end(self, now_ns: int) -> None:
+    def run(self, now_ns: int) -> None:
         """Adjust to the evidence and begin the next measurement cycle, or extend it to get more samples."""
         self._running_attempts.sample_all(now_ns)
         if self._overload.should_extend_cycle(now_ns):
--- a/balancer/policy/overload/detector.py
+++ b/balancer/policy/overload/detector.py
@@ -35,7 +35,7 @@
     """Collects the evidence of a measurement cycle and estimates the queueing delay at its end."""
 
     def __init__(self, settings: Settings) -> None:
-        self.cycle = MeasurementCycle()
+        self.measurement_cycle = MeasurementCycle()
         self.latency = LatencyTracker(settings.classes)
         self.queueing = QueueingDelayEstimator(settings)
         self.spillover = CrossZoneSpillover(settings)
@@ -59,11 +59,11 @@
 
     def record_attempt(self, endpoint: EndpointState) -> None:
         """Count an attempt that starts."""
-        self.cycle.attempt_count += 1
+        self.measurement_cycle.attempt_count += 1
         self.queueing.record_attempt(endpoint.zone)
 
     def discard_attempt(self, endpoint: EndpointState) -> None:
-        """Uncount an attempt whose outcome says nothing about load."""
+        """Remove an attempt from the counts, because its outcome says nothing about load."""
         self.queueing.discard_attempt(endpoint.zone)
 
     def record_delay(self, endpoint: EndpointState, request: RequestState, delay: float) -> None:
@@ -72,7 +72,7 @@
 
     def should_extend_cycle(self, now_ns: int) -> bool:
         """Return whether there are too few samples and the cycle may be extended to collect more."""
-        return self.cycle.may_be_extended(now_ns) and self.queueing.sample_count < self._min_samples
+        return self.measurement_cycle.may_be_extended(now_ns) and self.queueing.sample_count < self._min_samples
 
     def update_estimate(self, has_remote: bool, now_ns: int) -> None:
         """Estimate the queueing delay, and adjust the spillover if there are endpoints in other zones."""
@@ -80,7 +80,7 @@
         self.queueing_delay = loads.overall.queueing_delay
         self.response_ratio = loads.overall.response_ratio
         if has_remote:
-            self.spillover.update(loads, self.threshold, self.cycle.elapsed_ns(now_ns))
+            self.spillover.update(loads, self.threshold, self.measurement_cycle.elapsed_ns(now_ns))
 
     def discount_attempts(self, rejected_share: float) -> None:
         """Reduce the counts of attempts as if this share of the traffic had been rejected all along."""
@@ -94,7 +94,7 @@
             mean_share = sum(baseline_shares) / len(baseline_shares)
             self.threshold = _delay_threshold(min(MAX_BASELINE_SHARE, mean_share))
         self.queueing.end_cycle()
-        self.cycle.restart(now_ns)
+        self.measurement_cycle.restart(now_ns)
 
 
 def _delay_threshold(baseline_share: float) -> float:
--- a/balancer/policy/overload/gossip.py
+++ b/balancer/policy/overload/gossip.py
@@ -35,6 +35,7 @@
         self._admission = admission
         self._overload = overload
         self.cycle_count = 0
+        """Measurement cycles since the start; a received threshold makes it the number that sharing needs."""
         self.codec = GossipCodec(
             zone_count=settings.zone_count,
             business_level_count=len(admission.arrivals.keyless),
--- a/balancer/policy/overload/queueing_delay.py
+++ b/balancer/policy/overload/queueing_delay.py
@@ -19,7 +19,7 @@
 MAX_DECAY = 0.85
 """Largest share of the evidence that is kept, while samples are few: a time constant of about 1.7 s."""
 
-AMPLE_SAMPLES = 8.0
+SUFFICIENT_SAMPLES = 8.0
 """Number of samples that would make older evidence unnecessary.
 
 The share of the evidence that is kept falls in proportion to the number of samples, within the bounds above.
@@ -101,7 +101,7 @@
         self.attempts.remote += zone != self._local_zone
 
     def discard_attempt(self, zone: int) -> None:
-        """Uncount an attempt whose outcome says nothing about load."""
+        """Remove an attempt from the counts, because its outcome says nothing about load."""
         self.evidence[zone].attempt_count -= 1
 
     def record_success(self, zone: int) -> None:
@@ -133,7 +133,7 @@
 
     def end_cycle(self) -> None:
         """Reduce the weight of older evidence; the more samples there are, the faster it decays."""
-        decay = min(MAX_DECAY, max(MIN_DECAY, 1 - self.sample_count / AMPLE_SAMPLES))
+        decay = min(MAX_DECAY, max(MIN_DECAY, 1 - self.sample_count / SUFFICIENT_SAMPLES))
         for evidence in self.evidence:
             evidence.scale(decay)
         self.attempts.scale(decay)
--- a/balancer/policy/requests/attempt_dispatcher.py
+++ b/balancer/policy/requests/attempt_dispatcher.py
@@ -48,7 +48,7 @@
                 start_before_ns=request.deduplicated_until_ns,
             )
         )
-        self._control_cycle.end_if_attempt_limit_reached(now_ns)
+        self._control_cycle.run_if_attempt_limit_reached(now_ns)
 
     def send_final_response(self, request: RequestState, now_ns: int) -> None:
         """Reject or fail a request that no endpoint served, and forget it."""
--- a/tests/policy/test_overload.py
+++ b/tests/policy/test_overload.py
@@ -198,6 +198,6 @@
     ejected = harness.balancer.membership.endpoints[at_ejected.endpoint_id]
     ejected.ejection.until_ns = harness.now_ns + 9 * SECOND_NS
     harness.now_ns += SECOND_NS
-    harness.balancer.control_cycle.end(harness.now_ns)
+    harness.balancer.control_cycle.run(harness.now_ns)
     assert not harness.balancer.requests[at_ejected.request_id].recorded_delay
     assert harness.balancer.requests[at_other.request_id].recorded_delay
