--- a/balancer/policy/balancer.py
+++ b/balancer/policy/balancer.py
@@ -153,6 +153,8 @@
         self._actions += self.maintenance.run(self.overload.is_overloaded, now_ns)
         self.control_cycle.run(now_ns)
 
-    def _on_response_not_needed(self, _now_ns: int, event: api.ClientDisconnected | api.StreamStarted) -> None:
+    def _on_response_not_needed(
+        self, _now_ns: int, event: api.ClientDisconnected | api.StreamStarted
+    ) -> None:
         """Forget a request that needs no final response; a stream has no deadline and is never retried."""
         self.requests.pop(event.request_id, None)
--- a/balancer/policy/overload/admission.py
+++ b/balancer/policy/overload/admission.py
@@ -146,11 +146,15 @@
         self._cycles_without_overload = min(self._cycles_without_overload + 1, READMISSION_RAMP_CYCLES)
         margin = 1 - max(0.0, queueing_delay) / delay_threshold
         ramped_margin = margin * self._cycles_without_overload / READMISSION_RAMP_CYCLES
-        self.lower_threshold(MIN_READMISSION_STEP + (MAX_READMISSION_STEP - MIN_READMISSION_STEP) * ramped_margin)
+        self.lower_threshold(
+            MIN_READMISSION_STEP + (MAX_READMISSION_STEP - MIN_READMISSION_STEP) * ramped_margin
+        )
 
     def _count_to_reject(self, ranges: Sequence[LevelRange], share: float) -> float:
         """Return how many arrivals are this share of the admitted ones, within `MAX_REJECTED_SHARE`."""
-        admitted = sum(level_range.arrival_count * level_range.share_above(self.threshold) for level_range in ranges)
+        admitted = sum(
+            level_range.arrival_count * level_range.share_above(self.threshold) for level_range in ranges
+        )
         min_admitted = (1 - MAX_REJECTED_SHARE) * _total_count(ranges)
         return min(share * admitted, admitted - min_admitted)
 
--- a/balancer/policy/overload/arrival_histogram.py
+++ b/balancer/policy/overload/arrival_histogram.py
@@ -53,7 +53,9 @@
     def end_cycle(self) -> None:
         """Reduce the weight of older arrivals, and drop levels with almost none."""
         self._keyed = {
-            level: arrival_count * HISTOGRAM_DECAY for level, arrival_count in self._keyed.items() if arrival_count > MIN_LEVEL_COUNT
+            level: arrival_count * HISTOGRAM_DECAY
+            for level, arrival_count in self._keyed.items()
+            if arrival_count > MIN_LEVEL_COUNT
         }
         self.keyless = [arrival_count * HISTOGRAM_DECAY for arrival_count in self.keyless]
 
--- a/balancer/policy/overload/detector.py
+++ b/balancer/policy/overload/detector.py
@@ -72,7 +72,9 @@
 
     def should_extend_cycle(self, now_ns: int) -> bool:
         """Return whether there are too few samples and the cycle may be extended to collect more."""
-        return self.measurement_cycle.may_be_extended(now_ns) and self.queueing.sample_count < self._min_samples
+        return (
+            self.measurement_cycle.may_be_extended(now_ns) and self.queueing.sample_count < self._min_samples
+        )
 
     def update_estimate(self, has_remote: bool, now_ns: int) -> None:
         """Estimate the queueing delay, and adjust the spillover if there are endpoints in other zones."""
--- a/balancer/policy/overload/spillover.py
+++ b/balancer/policy/overload/spillover.py
@@ -47,5 +47,7 @@
         difference = loads.local.queueing_delay - loads.remote.queueing_delay
         normalized_difference = (difference - self._cross_zone_price) / overload_threshold
         step = SPILLOVER_STEP * elapsed_ns / CYCLE_NS
-        ratio = self.ratio + step * max(MIN_DELAY_DIFFERENCE, min(MAX_DELAY_DIFFERENCE, normalized_difference))
+        ratio = self.ratio + step * max(
+            MIN_DELAY_DIFFERENCE, min(MAX_DELAY_DIFFERENCE, normalized_difference)
+        )
         self.ratio = min(1.0, max(0.0, ratio))
--- a/balancer/policy/requests/hung_attempts.py
+++ b/balancer/policy/requests/hung_attempts.py
@@ -76,6 +76,9 @@
         request.attempt.is_hung = True
         if self._failure_rate < MIN_HUNG_FAILURE_RATE or self._random.random() > CANCELLED_SHARE:
             return False
-        if request.request_class.idempotency != Idempotency.IDEMPOTENT or not self._overload.has_low_queueing_delay:
+        if (
+            request.request_class.idempotency != Idempotency.IDEMPOTENT
+            or not self._overload.has_low_queueing_delay
+        ):
             return False
         return self._can_cancel and self._retry.allows_retry(request, AttemptOutcome.CANCELLED, now_ns)
--- a/balancer/policy/requests/request_state.py
+++ b/balancer/policy/requests/request_state.py
@@ -77,7 +77,7 @@
         "expires_at_ns",
         "id",
         "key_hash",
-        "is_safe_to_retry_anywhere",
+        "may_be_retried_anywhere",
         "objective_deadline_ns",
         "probe",
         "request_class",
@@ -93,7 +93,7 @@
         self.probe: LoadProbe | None = None
         self.attempt_count = 0
         self.attempt = AttemptState()
-        self.is_safe_to_retry_anywhere = True
+        self.may_be_retried_anywhere = True
         """Whether the request is safe to retry at any endpoint and any time.
 
         This is the case while it was certainly not executed, and always if it is idempotent.
@@ -133,7 +133,7 @@
         if endpoint is None:
             return
         idempotency = self.request_class.idempotency
-        self.is_safe_to_retry_anywhere = idempotency == Idempotency.IDEMPOTENT
+        self.may_be_retried_anywhere = idempotency == Idempotency.IDEMPOTENT
         if idempotency == Idempotency.IDEMPOTENCY_KEY and self.deduplication is None:
             until_ns = self.attempt.started_at_ns + self.request_class.deduplication_window_ns
             self.deduplication = DeduplicationBinding(endpoint, until_ns)
--- a/balancer/policy/requests/retry.py
+++ b/balancer/policy/requests/retry.py
@@ -76,7 +76,7 @@
             return False
         if request.attempt_count >= self._settings.max_attempts or self.tokens < 1:
             return False
-        is_safe = request.is_safe_to_retry_anywhere or now_ns < request.deduplicated_until_ns
+        is_safe = request.may_be_retried_anywhere or now_ns < request.deduplicated_until_ns
         if not is_safe or now_ns >= request.expires_at_ns:
             return False
         # A failed connect takes no capacity of the endpoint, so a retry is allowed during overload as well.
@@ -90,7 +90,7 @@
 
         It is rejected if it is safe to retry by the client, and failed otherwise.
         """
-        if not request.is_safe_to_retry_anywhere:
+        if not request.may_be_retried_anywhere:
             return api.FailRequest(request.id)
         request_class = request.request_class
         is_late = not request_class.late_answer_value and now_ns >= request.objective_deadline_ns
--- a/soak/mutants.py
+++ b/soak/mutants.py
@@ -72,13 +72,13 @@
     _mutant(
         "a request that may have executed is retried only if it is idempotent",
         "balancer/policy/requests/retry.py",
-        "is_safe = request.is_safe_to_retry_anywhere or now_ns < request.deduplicated_until_ns",
+        "is_safe = request.may_be_retried_anywhere or now_ns < request.deduplicated_until_ns",
         "is_safe = True",
     ),
     _mutant(
         "a rejection promises that nothing has executed",
         "balancer/policy/requests/retry.py",
-        "        if not request.is_safe_to_retry_anywhere:\n            return api.FailRequest(request.id)\n",
+        "        if not request.may_be_retried_anywhere:\n            return api.FailRequest(request.id)\n",
         "",
     ),
     _mutant(
--- a/tests/policy/fleet_sidecar.py
+++ b/tests/policy/fleet_sidecar.py
@@ -30,7 +30,7 @@
 from balancer.time_units import MILLISECOND_NS, SECOND_NS
 from tests.builders import request_received
 from tests.policy.event_queue import Callback, EventQueue
-from tests.policy.fleet_servers import QueuedWork, AccountServer
+from tests.policy.fleet_servers import AccountServer, QueuedWork
 from tests.policy.request_ledger import OpenRequest, RequestLedger
 
 HANDSHAKE_WORK_NS = 25 * MILLISECOND_NS
--- a/tests/policy/invariant_steps.py
+++ b/tests/policy/invariant_steps.py
@@ -99,7 +99,9 @@
     def apply(self, checker: InvariantChecker) -> None:
         if in_flight := checker.requests_in_flight():
             request_id = in_flight[self.choice % len(in_flight)]
-            checker.waive_final_response(request_id, StreamStarted(request_id), AttemptOutcome.CONNECTION_RESET)
+            checker.waive_final_response(
+                request_id, StreamStarted(request_id), AttemptOutcome.CONNECTION_RESET
+            )
 
 
 @dataclass(frozen=True)
--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -58,7 +58,9 @@
     assert control.threshold == pytest.approx(0.25 * priority_levels.USER_LEVELS, abs=4)
     for _ in range(50):
         control.raise_threshold(0.5)
-    assert control.threshold == pytest.approx(admission.MAX_REJECTED_SHARE * priority_levels.USER_LEVELS, abs=4)
+    assert control.threshold == pytest.approx(
+        admission.MAX_REJECTED_SHARE * priority_levels.USER_LEVELS, abs=4
+    )
     control.lower_threshold(0.4)
     assert control.threshold == pytest.approx(0.5 * priority_levels.USER_LEVELS, abs=5)
 
@@ -75,7 +77,10 @@
     for _ in range(50):
         harness.balancer.admission.raise_threshold(0.5)
     highest_level = 2 * priority_levels.USER_LEVELS
-    assert harness.threshold <= highest_level - (1 - admission.MAX_REJECTED_SHARE) * priority_levels.USER_LEVELS + 1
+    assert (
+        harness.threshold
+        <= highest_level - (1 - admission.MAX_REJECTED_SHARE) * priority_levels.USER_LEVELS + 1
+    )
 
 
 def test_threshold_falls_by_share_of_arrivals_and_at_least_one_level(harness: BalancerHarness) -> None:
--- a/tests/policy/test_fleet.py
+++ b/tests/policy/test_fleet.py
@@ -70,7 +70,9 @@
 def simulate_restart(case: RestartCase, sidecar_count: int) -> tuple[FleetSimulation, list[AccountServer]]:
     """Load twelve account servers with seven tenths of their capacity; some restart after four seconds."""
     zone_count = 3 if case == RestartCase.ONE_SERVER_IN_THREE_ZONES else 1
-    servers = [AccountServer(number, zone=number % zone_count, connection_limit=200) for number in range(1, 13)]
+    servers = [
+        AccountServer(number, zone=number % zone_count, connection_limit=200) for number in range(1, 13)
+    ]
     config = replace(RESTART_SETTINGS, zone_count=zone_count)
     fleet = FleetSimulation(config, sidecar_count, servers, seed=sidecar_count)
     restarted = {
