--- a/tests/policy/test_zone_router.py
+++ b/tests/policy/test_zone_router.py
@@ -8,7 +8,7 @@
 
 
 def is_remote(attempt: StartAttempt) -> bool:
-    """Return whether an attempt goes to an odd endpoint number: those are in zone 1 here."""
+    """Return whether an attempt goes to an endpoint with an odd number: these are in zone 1 here."""
     return endpoint_number(attempt.endpoint_id) % 2 == 1
 
 
@@ -24,7 +24,7 @@
 
 
 def start_local_attempts(harness: BalancerHarness, count: int) -> list[bool]:
-    """Start attempts and return for each whether it is local."""
+    """Start attempts, and return for each whether it goes to endpoint 1 or 2, which are local here."""
     return [endpoint_number(harness.start_attempt().endpoint_id) <= 2 for _ in range(count)]
 
 
