--- a/balancer/policy/overload/control_cycle.py
+++ b/balancer/policy/overload/control_cycle.py
@@ -1,6 +1,7 @@
-"""The control cycle: a period of the overload control, after which admission is adjusted.
+"""The control cycle: one run of the overload control, which adjusts admission and spillover.
 
-It ends with a periodic timer, or earlier after a number of attempts, as in DAGOR.
+It runs when a periodic timer fires, or earlier after a number of attempts, as in DAGOR. It ends the
+measurement cycle, unless that has too few samples and is extended.
 """
 
 from balancer import policy_api as api
@@ -14,7 +15,7 @@
 
 
 class ControlCycle:
-    """Ends control cycles: samples the load, adjusts admission and spillover, and shares the evidence."""
+    """Samples the load, adjusts admission and spillover, and shares the evidence with other sidecars."""
 
     def __init__(
         self,
@@ -34,29 +35,32 @@
         self._budget = budget
         self._running_attempts = running_attempts
 
-    def end_if_full(self, now_ns: int) -> None:
-        """End the cycle when its attempts reach the limit, or a multiple of it if samples were too few."""
-        if self._overload.cycle.attempt_count % MAX_ATTEMPTS_PER_CYCLE == 0:
-            self.end(now_ns)
+    def run_if_attempt_limit_reached(self, now_ns: int) -> None:
+        """Run a control cycle if the attempts of the measurement cycle have reached the limit.
 
-    def end(self, now_ns: int) -> None:
-        """Adjust to the evidence of the cycle and begin the next one; wait if there are too few samples."""
+        If there are too few samples then, it runs again at each further multiple of the limit.
+        """
+        if self._overload.measurement_cycle.attempt_count % MAX_ATTEMPTS_PER_CYCLE == 0:
+            self.run(now_ns)
+
+    def run(self, now_ns: int) -> None:
+        """Adjust to the evidence and begin the next measurement cycle, or extend it to get more samples."""
         self._running_attempts.sample_all(now_ns)
-        if self._overload.may_await_samples(now_ns):
+        if self._overload.should_extend_cycle(now_ns):
             self._actions += self._gossip.share()
             return
-        self.adjust_load(now_ns)
+        self.update_admission_and_spillover(now_ns)
         self._budget.increase()
         self._admission.end_cycle()
         self._overload.end_cycle(now_ns)
         self._actions += self._gossip.share()
         self._gossip.cycle_count += 1
 
-    def adjust_load(self, now_ns: int) -> None:
+    def update_admission_and_spillover(self, now_ns: int) -> None:
         """Update the load estimate and the spillover ratio, then the admission threshold."""
         overload = self._overload
         overload.update_estimate(bool(self._subsets.remote.ranked), now_ns)
-        shed_share = self._admission.adjust(
-            overload.queueing_delay, overload.threshold, overload.answer_ratio
+        rejected_share = self._admission.adjust(
+            overload.queueing_delay, overload.threshold, overload.response_ratio
         )
-        overload.discount_attempts(shed_share)
+        overload.discount_attempts(rejected_share)
--- a/balancer/policy/overload/gossip.py
+++ b/balancer/policy/overload/gossip.py
@@ -1,4 +1,8 @@
-"""Gossip: what this sidecar shares with others each cycle, and how it merges what they share."""
+"""Gossip: what this sidecar shares with others each control cycle, and how it merges what they share.
+
+Sums are shared as in push-sum gossip: a sidecar sends half of each sum to a random other one, which adds it
+to its own.
+"""
 
 from random import Random
 
@@ -7,17 +11,17 @@
 from balancer.policy.overload.detector import OverloadDetector
 from balancer.policy_api import GossipReceived, SendGossip, Settings
 
-KEPT_SHARE = 1 / 2
-"""Share of all sums that a sidecar keeps; it sends the rest, so that all approach the mean of the fleet."""
+RETAINED_SHARE = 1 / 2
+"""Share of each sum that a sidecar keeps; it sends the rest, so that all approach the mean of the fleet."""
 
 THRESHOLD_WEIGHT = 0.25
-"""Weight of a received threshold, so that the thresholds of the fleet converge and it sheds smoothly."""
+"""Weight of a received threshold, so that the thresholds converge and the fleet rejects evenly."""
 
 RESTARTED_THRESHOLD_WEIGHT = 1.0
-"""The same just after a start, when the own threshold says nothing."""
+"""Weight of a received threshold just after a start, when the sidecar's own says nothing."""
 
-SETTLED_CYCLES = 4
-"""Cycles after which a sidecar's own threshold is worth sharing."""
+MIN_CYCLES_TO_SHARE_THRESHOLD = 4
+"""Measurement cycles after which a sidecar's own threshold is worth sharing."""
 
 
 class Gossip:
@@ -31,6 +35,7 @@
         self._admission = admission
         self._overload = overload
         self.cycle_count = 0
+        """Measurement cycles since the start; a received threshold makes it the number that sharing needs."""
         self.codec = GossipCodec(
             zone_count=settings.zone_count,
             business_level_count=len(admission.arrivals.keyless),
@@ -39,21 +44,21 @@
         )
 
     @property
-    def _is_settled(self) -> bool:
-        """Whether the own threshold is worth sharing."""
-        return self.cycle_count >= SETTLED_CYCLES
+    def _has_established_threshold(self) -> bool:
+        """Whether the sidecar's own threshold is worth sharing."""
+        return self.cycle_count >= MIN_CYCLES_TO_SHARE_THRESHOLD
 
     def share(self) -> list[SendGossip]:
-        """Halve all sums, and return the message that carries the other half if there is a recipient."""
+        """Halve all sums and return a message with the other halves, if there is another sidecar."""
         settings = self._settings
         if not settings.gossip_enabled or settings.instance_count <= 1:
             return []
         message = self._current_message()
-        message.scale(KEPT_SHARE, MAX_VALUE)
+        message.scale(RETAINED_SHARE, MAX_VALUE)
         return [SendGossip(self._draw_recipient(), self.codec.encode(message))]
 
     def merge(self, _now_ns: int, event: GossipReceived) -> None:
-        """Add what another sidecar shared; a payload that no sidecar of this version sends is ignored."""
+        """Add what another sidecar shared; ignore a payload that no sidecar of this version sends."""
         message = self.codec.decode(event.payload)
         if message is None:
             return
@@ -69,16 +74,16 @@
         return recipient_index
 
     def _merge_threshold(self, received_threshold: float) -> None:
-        """Move the own threshold towards that of another sidecar of the zone."""
-        weight = THRESHOLD_WEIGHT if self._is_settled else RESTARTED_THRESHOLD_WEIGHT
+        """Move the sidecar's own threshold towards that of another sidecar of its zone."""
+        weight = THRESHOLD_WEIGHT if self._has_established_threshold else RESTARTED_THRESHOLD_WEIGHT
         self._admission.threshold += weight * (received_threshold - self._admission.threshold)
-        self.cycle_count = max(self.cycle_count, SETTLED_CYCLES)
+        self.cycle_count = max(self.cycle_count, MIN_CYCLES_TO_SHARE_THRESHOLD)
 
     def _current_message(self) -> GossipMessage:
         """Return a message that refers to the sums themselves, so that changes of it change them."""
         return GossipMessage(
             zone=self._settings.local_zone,
-            admission_threshold=self._admission.threshold if self._is_settled else None,
+            admission_threshold=self._admission.threshold if self._has_established_threshold else None,
             queueing=self._overload.queueing.evidence,
             keyless_arrivals=self._admission.arrivals.keyless,
             latencies=self._overload.latency.samples,
--- a/tests/policy/test_spillover.py
+++ b/tests/policy/test_spillover.py
@@ -27,19 +27,19 @@
         QueueingEvidence(delay_sum=6.0, sample_count=10.0, attempt_count=10.0, answer_count=10.0),
         QueueingEvidence(delay_sum=0.0, sample_count=10.0, attempt_count=10.0, answer_count=10.0),
     ]
-    balancer.control_cycle.adjust_load(harness.now_ns + SECOND_NS)
+    balancer.control_cycle.update_admission_and_spillover(harness.now_ns + SECOND_NS)
     raised_ratio = balancer.overload.spillover.ratio
     assert 0 < raised_ratio < 0.5
     balancer.overload.queueing.evidence = [
         QueueingEvidence(delay_sum=1.0, sample_count=10.0, attempt_count=10.0, answer_count=10.0),
         QueueingEvidence(delay_sum=3.0, sample_count=10.0, attempt_count=10.0, answer_count=10.0),
     ]
-    balancer.control_cycle.adjust_load(harness.now_ns + SECOND_NS)
+    balancer.control_cycle.update_admission_and_spillover(harness.now_ns + SECOND_NS)
     assert balancer.overload.spillover.ratio < raised_ratio
 
 
 def test_remote_connect_failures_reduce_spillover() -> None:
-    """A zone that is cut off shows no delays: by the difference in delay alone it would draw ever more."""
+    """An unreachable zone shows no delays, so by these alone it would get more and more traffic."""
     harness = BalancerHarness(settings(zone_count=2), endpoint_count=0)
     harness.update_endpoints(*(endpoint(number, zone=number % 2) for number in range(1, 17)))
     harness.balancer.overload.spillover.ratio = 1.0
