--- a/balancer/simulator/action_encoder.py
+++ b/balancer/simulator/action_encoder.py
@@ -116,7 +116,7 @@
     return text.encode("utf-8", "replace")[:MAX_TEXT_BYTES]
 
 
-def _entry(
+def _encoder_entry(
     action_type: type[ActionT], encoder: ActionEncoder[ActionT]
 ) -> tuple[type[object], ActionEncoder[Action]]:
     """Pair a type of action with its encoder, which is only ever called with actions of this type."""
@@ -125,16 +125,16 @@
 
 _ENCODERS = dict(
     (
-        _entry(StartAttempt, _encode_start_attempt),
-        _entry(RejectRequest, _encode_reject_request),
-        _entry(FailRequest, _encode_fail_request),
-        _entry(CancelAttempt, _encode_cancel_attempt),
-        _entry(SetTimer, _encode_set_timer),
-        _entry(StartHealthCheck, _encode_start_health_check),
-        _entry(CloseIdleConnections, _encode_close_idle_connections),
-        _entry(SendGossip, _encode_send_gossip),
-        _entry(WriteLog, _encode_write_log),
-        _entry(WatchEndpoints, _encode_watch_endpoints),
-        _entry(FetchEndpoints, _encode_fetch_endpoints),
+        _encoder_entry(StartAttempt, _encode_start_attempt),
+        _encoder_entry(RejectRequest, _encode_reject_request),
+        _encoder_entry(FailRequest, _encode_fail_request),
+        _encoder_entry(CancelAttempt, _encode_cancel_attempt),
+        _encoder_entry(SetTimer, _encode_set_timer),
+        _encoder_entry(StartHealthCheck, _encode_start_health_check),
+        _encoder_entry(CloseIdleConnections, _encode_close_idle_connections),
+        _encoder_entry(SendGossip, _encode_send_gossip),
+        _encoder_entry(WriteLog, _encode_write_log),
+        _encoder_entry(WatchEndpoints, _encode_watch_endpoints),
+        _encoder_entry(FetchEndpoints, _encode_fetch_endpoints),
     )
 )
--- a/balancer/simulator/adapter.py
+++ b/balancer/simulator/adapter.py
@@ -8,7 +8,7 @@
 from balancer.policy.balancer import Balancer
 from balancer.policy_api import Action, Started
 from balancer.simulator.action_encoder import encode_action, encode_failure
-from balancer.simulator.event_decoder import EventDecoder, HostedEvent, InstanceStarted, InstanceStopped
+from balancer.simulator.event_decoder import EventDecoder, SimulatorEvent, InstanceStarted, InstanceStopped
 from balancer.simulator.frames import Batch, encode_reply, read_batch
 
 
@@ -37,7 +37,7 @@
                 reply.append(encode_failure(instance, f"{type(failure).__name__}: {failure}"))
         return reply
 
-    def _handle(self, instance: int, now_ns: int, event: HostedEvent) -> list[Action]:
+    def _handle(self, instance: int, now_ns: int, event: SimulatorEvent) -> list[Action]:
         if isinstance(event, InstanceStarted):
             return self._start_instance(instance, now_ns, event)
         if isinstance(event, InstanceStopped):
--- a/balancer/simulator/event_decoder.py
+++ b/balancer/simulator/event_decoder.py
@@ -35,11 +35,11 @@
     UnknownUpdateKindError,
 )
 from balancer.simulator.record_codes import (
-    CLIENT_RETRY,
+    CLIENT_RETRY_FLAG,
     HEALTH_BY_CODE,
     OUTCOME_BY_CODE,
     UPDATE_KIND_BY_CODE,
-    WORK_HINT_IS_VALID,
+    WORK_HINT_PRESENT_FLAG,
     EventCode,
 )
 from balancer.simulator.record_reader import RecordReader
@@ -58,11 +58,11 @@
     """An instance was killed, and its state is lost."""
 
 
-HostedEvent: TypeAlias = InstanceStarted | InstanceStopped | Event
+SimulatorEvent: TypeAlias = InstanceStarted | InstanceStopped | Event
 """An event of an instance: one of its decisions, or its start or end."""
 
 # A plain tuple, as one is created for every event and a class would cost more time.
-InstanceEvent: TypeAlias = tuple[int, HostedEvent]
+InstanceEvent: TypeAlias = tuple[int, SimulatorEvent]
 """The number of an instance, and its event."""
 
 FixedFields: TypeAlias = tuple[int, *tuple[int | bytes, ...]]
@@ -74,10 +74,10 @@
 class RecordType:
     """A type of event record: the layout of its fixed fields, and how an event is built from them."""
 
-    __slots__ = ("build_event", "fixed_bytes", "unpack_from")
+    __slots__ = ("build_event", "fixed_fields_bytes", "unpack_from")
 
     def __init__(
-        self, field_formats: str, build_event: Callable[[FieldsT, RecordReader], HostedEvent | None]
+        self, field_formats: str, build_event: Callable[[FieldsT, RecordReader], SimulatorEvent | None]
     ) -> None:
         """Create the type.
 
@@ -87,9 +87,9 @@
                 record that is no event.
         """
         layout = struct.Struct(f"<x{field_formats}")  # the record code has been read by the caller
-        self.fixed_bytes = layout.size
+        self.fixed_fields_bytes = layout.size
         self.unpack_from: Callable[[bytes, int], FixedFields] = layout.unpack_from
-        self.build_event = cast("Callable[[FixedFields, RecordReader], HostedEvent | None]", build_event)
+        self.build_event = cast("Callable[[FixedFields, RecordReader], SimulatorEvent | None]", build_event)
 
 
 _LIST_ENTRY = struct.Struct("<6sBHHBfQ")
@@ -135,7 +135,7 @@
                 raise UnknownRecordCodeError(record_code) from None
             try:
                 fields = record_type.unpack_from(records, position)
-                reader.position = position + record_type.fixed_bytes
+                reader.position = position + record_type.fixed_fields_bytes
                 event = record_type.build_event(fields, reader)
             except struct.error:
                 raise TruncatedRecordError(record_code) from None
@@ -188,9 +188,9 @@
     fields: tuple[int, int, int, int, int, int, int, int], _reader: RecordReader
 ) -> RequestReceived:
     _instance, request_id, class_index, tenant_index, key_hash, expires_at_ns, work_hint_ns, flags = fields
-    if not flags & WORK_HINT_IS_VALID:
+    if not flags & WORK_HINT_PRESENT_FLAG:
         work_hint_ns = 0
-    is_retry = bool(flags & CLIENT_RETRY)
+    is_retry = bool(flags & CLIENT_RETRY_FLAG)
     return RequestReceived(
         request_id, class_index, tenant_index, key_hash, expires_at_ns, work_hint_ns, is_retry
     )
--- a/balancer/simulator/record_codes.py
+++ b/balancer/simulator/record_codes.py
@@ -68,8 +68,8 @@
     2: EndpointHealth.DRAINING,
 }
 
-WORK_HINT_IS_VALID: Final = 1
+WORK_HINT_PRESENT_FLAG: Final = 1
 """Bit of the flags of a request: its work hint is set."""
 
-CLIENT_RETRY: Final = 2
+CLIENT_RETRY_FLAG: Final = 2
 """Bit of the flags of a request: the client marked it as a retry."""
--- a/benchmarks/discovery_stand_in.py
+++ b/benchmarks/discovery_stand_in.py
@@ -15,7 +15,7 @@
 
 from benchmarks.topology import CELL_COUNT, ZONE_COUNT
 
-HostJson: TypeAlias = dict[str, str | int | float]
+EndpointJson: TypeAlias = dict[str, str | int | float]
 """An entry of the endpoint list, in the form that discovery sends."""
 
 _HEAD_LIMIT_BYTES = 1 << 20
@@ -38,12 +38,12 @@
 class DiscoveryStandIn:
     """A discovery agent on a free port of 127.0.0.1, as an asynchronous context manager."""
 
-    def __init__(self, host_count: int) -> None:
-        self._host_count = host_count
+    def __init__(self, endpoint_count: int) -> None:
+        self._endpoint_count = endpoint_count
         self._version = 1
         self._health_by_index: dict[int, str] = {}
-        self._changes: dict[int, HostJson] = {}
-        self._changed = asyncio.Condition()
+        self._entry_by_version: dict[int, EndpointJson] = {}
+        self._change_condition = asyncio.Condition()
         self._server: asyncio.Server | None = None
         self._connections: set[asyncio.Task[None]] = set()
         self._calls = 0
@@ -79,11 +79,11 @@
 
     async def set_health(self, index: int, health: str) -> None:
         """Change the health of an endpoint, and notify the open watches."""
-        async with self._changed:
+        async with self._change_condition:
             self._version += 1
             self._health_by_index[index] = health
-            self._changes[self._version] = host_entry(index, health)
-            self._changed.notify_all()
+            self._entry_by_version[self._version] = endpoint_entry(index, health)
+            self._change_condition.notify_all()
 
     def _accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         # A task that the server made itself would report its cancellation as an error.
@@ -93,7 +93,7 @@
 
     async def _serve_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
-            await self._answer_calls(reader, writer)
+            await self._serve_calls(reader, writer)
         except (asyncio.IncompleteReadError, asyncio.LimitOverrunError, ConnectionError, MalformedCallError):
             pass  # the sidecar closed the connection or broke the protocol; the connection ends either way
         finally:
@@ -101,50 +101,50 @@
             with contextlib.suppress(ConnectionError):
                 await writer.wait_closed()
 
-    async def _answer_calls(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _serve_calls(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while True:
             head = await reader.readuntil(b"\r\n\r\n")
             self._calls += 1
             self._bytes_transferred += len(head)
-            body = await self._answer(_parse_target(head))
+            body = await self._response_body(_parse_target(head))
             response = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body
             self._bytes_transferred += len(response)
             writer.write(response)
             await writer.drain()
 
-    async def _answer(self, target: str) -> bytes:
+    async def _response_body(self, target: str) -> bytes:
         query = parse_qs(urlsplit(target).query)
         try:
             since_version = int(query.get("from", ["0"])[0])
-            hold_milliseconds = int(query.get("hold_ms", ["0"])[0])
+            long_poll_timeout_milliseconds = int(query.get("hold_ms", ["0"])[0])
         except ValueError:
             raise MalformedCallError(target) from None
         if since_version == 0:
             return self._encode_snapshot()
-        await self._wait_for_change(since_version, hold_milliseconds / 1000)
+        await self._wait_for_change(since_version, long_poll_timeout_milliseconds / 1000)
         return self._encode_delta(since_version)
 
-    async def _wait_for_change(self, since_version: int, hold_seconds: float) -> None:
+    async def _wait_for_change(self, since_version: int, long_poll_timeout_seconds: float) -> None:
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(hold_seconds), self._changed:
-                await self._changed.wait_for(lambda: self._version > since_version)
+            async with asyncio.timeout(long_poll_timeout_seconds), self._change_condition:
+                await self._change_condition.wait_for(lambda: self._version > since_version)
 
     def _encode_snapshot(self) -> bytes:
         hosts = [
-            host_entry(index, self._health_by_index.get(index, "up")) for index in range(self._host_count)
+            endpoint_entry(index, self._health_by_index.get(index, "up")) for index in range(self._endpoint_count)
         ]
         return self._encode_list(hosts, is_snapshot=True)
 
     def _encode_delta(self, since_version: int) -> bytes:
-        hosts = [self._changes[version] for version in range(since_version + 1, self._version + 1)]
+        hosts = [self._entry_by_version[version] for version in range(since_version + 1, self._version + 1)]
         return self._encode_list(hosts, is_snapshot=False)
 
-    def _encode_list(self, hosts: list[HostJson], *, is_snapshot: bool) -> bytes:
+    def _encode_list(self, hosts: list[EndpointJson], *, is_snapshot: bool) -> bytes:
         answer = {"seq": self._version, "whole": is_snapshot, "hosts": hosts}
         return json.dumps(answer, separators=(",", ":")).encode()
 
 
-def host_entry(index: int, health: str = "up") -> HostJson:
+def endpoint_entry(index: int, health: str = "up") -> EndpointJson:
     """Return an entry of the endpoint list; each index has a loopback address of its own."""
     return {
         "host": f"s-{index:08x}",
--- a/tests/benchmarks/runner.py
+++ b/tests/benchmarks/runner.py
@@ -10,7 +10,7 @@
 TEST_TIMEOUT_SECONDS = 20.0
 """A test that hangs fails after this time; no test passes or fails because of a shorter one."""
 
-HOST_COUNT = 3
+ENDPOINT_COUNT = 3
 """Length of the endpoint list of the discovery agent."""
 
 
@@ -28,7 +28,7 @@
     """Run a test with a discovery agent; raises TimeoutError if it hangs."""
 
     async def run_in_context() -> None:
-        async with DiscoveryStandIn(HOST_COUNT) as discovery:
+        async with DiscoveryStandIn(ENDPOINT_COUNT) as discovery:
             await test(discovery)
 
     run(run_in_context)
--- a/tests/benchmarks/test_discovery_stand_in.py
+++ b/tests/benchmarks/test_discovery_stand_in.py
@@ -10,9 +10,9 @@
 from balancer.policy_api import EndpointHealth
 from balancer.sidecar.discovery.endpoint_list import EndpointListUpdate, NameIndices, parse_endpoint_list
 from benchmarks.discovery_stand_in import DiscoveryStandIn
-from tests.benchmarks.runner import HOST_COUNT, run, run_with_discovery
+from tests.benchmarks.runner import ENDPOINT_COUNT, run, run_with_discovery
 
-LONG_HOLD_MS = 60_000
+LONG_POLL_TIMEOUT_MS = 60_000
 """Longer than any test may take."""
 
 
@@ -51,8 +51,8 @@
         client = await connect(discovery)
         snapshot = await client.fetch()
         assert (snapshot.version, snapshot.is_snapshot) == (1, True)
-        assert len({entry.address for entry in snapshot.endpoints}) == HOST_COUNT
-        watch = asyncio.create_task(client.fetch(f"?from=1&hold_ms={LONG_HOLD_MS}"))
+        assert len({entry.address for entry in snapshot.endpoints}) == ENDPOINT_COUNT
+        watch = asyncio.create_task(client.fetch(f"?from=1&hold_ms={LONG_POLL_TIMEOUT_MS}"))
         await discovery.set_health(2, "draining")
         delta = await watch
         assert (delta.version, delta.is_snapshot) == (2, False)
@@ -69,7 +69,7 @@
     run_with_discovery(test)
 
 
-def test_watch_without_changes_is_answered_when_its_hold_is_over() -> None:
+def test_watch_without_changes_is_answered_after_its_timeout() -> None:
     async def test(discovery: DiscoveryStandIn) -> None:
         client = await connect(discovery)
         update = await client.fetch("?from=1&hold_ms=1")
@@ -81,9 +81,9 @@
 
 def test_open_watch_ends_without_an_error_when_the_agent_stops(caplog: pytest.LogCaptureFixture) -> None:
     async def test() -> None:
-        async with DiscoveryStandIn(HOST_COUNT) as discovery:
+        async with DiscoveryStandIn(ENDPOINT_COUNT) as discovery:
             client = await connect(discovery)
-            client.send_calls("", f"?from=1&hold_ms={LONG_HOLD_MS}")
+            client.send_calls("", f"?from=1&hold_ms={LONG_POLL_TIMEOUT_MS}")
             assert (await client.read_update()).is_snapshot
         with pytest.raises(asyncio.IncompleteReadError):
             await client.read_update()
--- a/tests/sidecar/client.py
+++ b/tests/sidecar/client.py
@@ -40,7 +40,7 @@
         body = await self.reader.readexactly(int(headers[b"content-length"]))
         return ClientResponse(int(status_line.split()[1]), headers, body)
 
-    async def is_closed(self) -> bool:
+    async def is_closed_without_data(self) -> bool:
         """Wait for the sidecar to close the connection. Returns whether it sent nothing before that."""
         try:
             return await self.reader.read() == b""
--- a/tests/sidecar/downstream/harness.py
+++ b/tests/sidecar/downstream/harness.py
@@ -108,7 +108,7 @@
         client, other_client = await sidecar.connect_client(), await sidecar.connect_client()
         status, headers, _ = await client.exchange(raw)
         assert (status, headers[b"connection"]) == (expected_status, b"close")
-        assert await client.is_closed()
+        assert await client.is_closed_without_data()
         assert (await other_client.exchange(request_bytes()))[0] == 200
         assert len(endpoint.received_requests) == 1
 
--- a/tests/sidecar/downstream/test_connection_timeouts.py
+++ b/tests/sidecar/downstream/test_connection_timeouts.py
@@ -25,8 +25,8 @@
         partial_body.writer.write(request_bytes("post", body=b"x" * 100)[:-1])
         for client in (partial_head, partial_body):
             assert (await client.read_response())[0] == 408
-            assert await client.is_closed()
-        assert await silent.is_closed()
+            assert await client.is_closed_without_data()
+        assert await silent.is_closed_without_data()
         # This one has been idle for longer than the silent one.
         assert (await idle.exchange(request_bytes()))[0] == 200
 
--- a/tests/sidecar/downstream/test_listener.py
+++ b/tests/sidecar/downstream/test_listener.py
@@ -77,7 +77,7 @@
         clients = [await sidecar.connect_client() for _ in range(4)]
         for client in clients:
             assert (await client.exchange(request_bytes()))[0] == 200
-        assert await clients[0].is_closed()
+        assert await clients[0].is_closed_without_data()
 
 
 @async_test
@@ -90,7 +90,7 @@
             assert (await client.exchange(request_bytes()))[0] == 200
         new_clients = [await sidecar.connect_client() for _ in range(3)]
         for client in idle_clients[:3]:
-            assert await client.is_closed()
+            assert await client.is_closed_without_data()
         for client in new_clients:
             assert (await client.exchange(request_bytes()))[0] == 200
 
@@ -107,7 +107,7 @@
             assert (await client.exchange(request_bytes()))[0] == 200
         silent_clients = [await sidecar.connect_client() for _ in range(8)]
         for client in silent_clients[:4]:
-            assert await client.is_closed()
+            assert await client.is_closed_without_data()
         for client in idle_clients:
             assert (await client.exchange(request_bytes()))[0] == 200
 
--- a/tests/sidecar/downstream/test_requests_over_sockets.py
+++ b/tests/sidecar/downstream/test_requests_over_sockets.py
@@ -75,7 +75,7 @@
         responses = [await client.read_response() for _ in range(3)]
         assert [response.body for response in responses] == [b"answer 0", b"answer 1", b"answer 2"]
         assert [b"connection" in response.headers for response in responses] == [False, False, True]
-        assert await client.is_closed()
+        assert await client.is_closed_without_data()
 
 
 @async_test
--- a/tests/sidecar/held_requests.py
+++ b/tests/sidecar/pending_requests.py
@@ -9,7 +9,7 @@
 from tests.sidecar.scripted_endpoint import ReceivedRequest, Script
 
 
-class HeldRequests:
+class PendingRequests:
     """The requests that endpoints hold."""
 
     def __init__(self) -> None:
@@ -17,20 +17,20 @@
         """Number of requests that each endpoint holds, by its name."""
         self.arrivals: asyncio.Queue[str] = asyncio.Queue()
         """The name of the endpoint of each request, in the order of their arrival."""
-        self._may_answer: dict[str, list[asyncio.Event]] = {}
+        self._release_events: dict[str, list[asyncio.Event]] = {}
 
     def script(self, name: str) -> Script:
         """Return the script of the endpoint with this name."""
 
-        async def hold(_request: ReceivedRequest) -> bytes:
-            may_answer = asyncio.Event()
-            self._may_answer.setdefault(name, []).append(may_answer)
+        async def wait_for_release(_request: ReceivedRequest) -> bytes:
+            released = asyncio.Event()
+            self._release_events.setdefault(name, []).append(released)
             self.counts[name] += 1
             self.arrivals.put_nowait(name)
-            await may_answer.wait()
+            await released.wait()
             return ok_response()
 
-        return hold
+        return wait_for_release
 
     def scripts(self, endpoint_count: int) -> list[Script]:
         """Return the scripts of this many endpoints, which are named by their numbers."""
@@ -38,11 +38,11 @@
 
     def answer_oldest(self, name: str) -> None:
         """Let this endpoint answer the request that it has held for the longest time."""
-        self._may_answer[name].pop(0).set()
+        self._release_events[name].pop(0).set()
         self.counts[name] -= 1
 
     def answer_all(self) -> None:
         """Let the endpoints answer all requests that they hold."""
-        for name, may_answer in self._may_answer.items():
-            for _ in list(may_answer):
+        for name, events in self._release_events.items():
+            for _ in list(events):
                 self.answer_oldest(name)
--- a/tests/sidecar/process/test_configuration_reloader.py
+++ b/tests/sidecar/process/test_configuration_reloader.py
@@ -76,6 +76,6 @@
         await new_discovery.request_arrived.wait()
         assert new_discovery.received_requests[0].request_line == b"GET /discovery/hosts HTTP/1.1"
         process.send_signal(signal.SIGTERM)
-        assert await client.is_closed()  # the shutdown has begun
+        assert await client.is_closed_without_data()  # the shutdown has begun
         assert await send_sighup_until_exit(process) == 0
         assert await process.stderr.read() == b""
--- a/tests/sidecar/process/test_graceful_shutdown.py
+++ b/tests/sidecar/process/test_graceful_shutdown.py
@@ -54,7 +54,7 @@
         for client in (before_signal, after_signal):
             status, _, body = await client.read_response()
             assert (status, body) == (200, b"done")
-            assert await client.is_closed()
+            assert await client.is_closed_without_data()
         assert await process.wait() == 0
 
 
--- a/tests/sidecar/process/test_lifecycle.py
+++ b/tests/sidecar/process/test_lifecycle.py
@@ -45,7 +45,7 @@
             open_clients += [last] if signal_number == signal.SIGTERM else [idle, last]
             assert (await idle.exchange(request_bytes()))[0] == 200
             assert (await last.exchange(request_bytes(extra_headers=CLOSE_HEADER)))[0] == 200
-            assert await last.is_closed()
+            assert await last.is_closed_without_data()
             if signal_number == signal.SIGTERM:
                 idle.writer.close()
             process.send_signal(signal_number)
--- a/tests/sidecar/test_overload_over_sockets.py
+++ b/tests/sidecar/test_overload_over_sockets.py
@@ -14,22 +14,22 @@
 from tests.sidecar.client import Client, ClientResponse
 from tests.sidecar.configuration_documents import SETTINGS, change_classes, endpoint_entry, endpoint_list
 from tests.sidecar.event_loop import async_test, wait_until
-from tests.sidecar.held_requests import HeldRequests
+from tests.sidecar.pending_requests import PendingRequests
 from tests.sidecar.manual_time import ManualTime, event_loop_with_timers_of
 from tests.sidecar.messages import ok_response, request_bytes
 from tests.sidecar.scripted_endpoint import ReceivedRequest, Script, never_answer, run_endpoints
 from tests.sidecar.sidecar_under_test import Sidecar, run_sidecar
 
-CYCLE_TIMER = TimerFired(0)
+CONTROL_CYCLE_TIMER = TimerFired(0)
 """The event that ends a cycle of overload detection."""
 
 
-class HeldClients:
+class PendingExchanges:
     """Clients whose requests are held by endpoints, each on a connection of its own."""
 
-    def __init__(self, sidecar: Sidecar, held: HeldRequests, class_name: str) -> None:
+    def __init__(self, sidecar: Sidecar, pending: PendingRequests, class_name: str) -> None:
         self._sidecar = sidecar
-        self._held = held
+        self._pending = pending
         self._class_name = class_name
         self._exchanges: set[asyncio.Task[ClientResponse]] = set()
 
@@ -38,61 +38,61 @@
         client = await self._sidecar.connect_client()
         exchange = client.exchange(request_bytes(self._class_name))
         self._exchanges.add(asyncio.create_task(exchange))
-        await self._held.arrivals.get()
+        await self._pending.arrivals.get()
 
     async def answer_oldest(self, name: str) -> None:
         """Let an endpoint answer its oldest request, and check that the client gets the response."""
-        self._held.answer_oldest(name)
+        self._pending.answer_oldest(name)
         [answered], _ = await asyncio.wait(self._exchanges, return_when=asyncio.FIRST_COMPLETED)
         self._exchanges.remove(answered)
         assert answered.result().status == 200
 
 
 @async_test
-async def test_warming_endpoint_holds_its_share_of_what_others_hold() -> None:
+async def test_warming_endpoint_gets_its_share_of_requests_in_flight() -> None:
     """A limit of one request would leave endpoints idle that are warming up, beside others that are full."""
-    held = HeldRequests()
+    pending = PendingRequests()
     names = ("warm-1", "warm-2", "warming")
     # The slow start is so long that the allowance does not grow while the test runs.
     slow_start = {"ColdFrom": 0.31, "ColdNs": 60_000_000_000}
-    async with run_endpoints(*map(held.script, names)) as endpoints:
+    async with run_endpoints(*map(pending.script, names)) as endpoints:
         entries = [
             endpoint_entry(name, endpoint.address) for name, endpoint in zip(names, endpoints, strict=True)
         ]
         entries[2]["born_ms"] = int(time.time() * 1000)
         known = endpoint_list(1, *entries)
         async with run_sidecar(known=known, settings=SETTINGS | {"Rules": slow_start}) as sidecar:
-            clients = HeldClients(sidecar, held, "read")
+            clients = PendingExchanges(sidecar, pending, "read")
             for _ in range(40):
                 await clients.send()
-            assert held.counts["warming"] == 0  # its share is earned by the responses of the others
+            assert pending.counts["warming"] == 0  # only responses of warm endpoints add tokens for warming ones
             for _ in range(80):
-                await clients.answer_oldest(max(names[:2], key=lambda name: held.counts[name]))
+                await clients.answer_oldest(max(names[:2], key=lambda name: pending.counts[name]))
                 await clients.send()
-            mean_count = (held.counts["warm-1"] + held.counts["warm-2"]) / 2
-            assert 3 <= held.counts["warming"] <= 0.4 * mean_count + 1, held.counts
+            mean_count = (pending.counts["warm-1"] + pending.counts["warm-2"]) / 2
+            assert 3 <= pending.counts["warming"] <= 0.4 * mean_count + 1, pending.counts
 
 
-def hang_on_reads(held: HeldRequests, hung: asyncio.Queue[ReceivedRequest]) -> Script:
+def hang_on_reads(pending: PendingRequests, hung_reads: asyncio.Queue[ReceivedRequest]) -> Script:
     """Return the script of the endpoint "hanging", which holds posts and never answers reads."""
-    hold = held.script("hanging")
+    wait_for_release = pending.script("hanging")
 
     async def script(request: ReceivedRequest) -> bytes | None:
         if request.request_line.startswith(b"POST"):
-            return await hold(request)
-        hung.put_nowait(request)
+            return await wait_for_release(request)
+        hung_reads.put_nowait(request)
         return await never_answer(request)
 
     return script
 
 
-def serve_reads(held: HeldRequests) -> Script:
+def serve_reads(pending: PendingRequests) -> Script:
     """Return the script of the endpoint "healthy", which holds posts and answers reads at once."""
-    hold = held.script("healthy")
+    wait_for_release = pending.script("healthy")
 
     async def script(request: ReceivedRequest) -> bytes | None:
         if request.request_line.startswith(b"POST"):
-            return await hold(request)
+            return await wait_for_release(request)
         return ok_response()
 
     return script
@@ -105,16 +105,16 @@
 
 
 @async_test
-async def test_class_that_hangs_at_an_endpoint_goes_elsewhere_and_other_classes_stay() -> None:
+async def test_class_whose_requests_hang_is_sent_elsewhere_and_other_classes_are_not() -> None:
     """Hanging requests of one class are neither overload nor a fault of the endpoint for other classes."""
-    held = HeldRequests()
-    hung = asyncio.Queue[ReceivedRequest]()
+    pending = PendingRequests()
+    hung_reads = asyncio.Queue[ReceivedRequest]()
     settings = change_classes({"AimNs": 200_000_000})
     async with (
-        run_endpoints(hang_on_reads(held, hung), serve_reads(held)) as endpoints,
+        run_endpoints(hang_on_reads(pending, hung_reads), serve_reads(pending)) as endpoints,
         run_sidecar(*(endpoint.address for endpoint in endpoints), settings=settings) as sidecar,
     ):
-        posts = HeldClients(sidecar, held, "post")
+        posts = PendingExchanges(sidecar, pending, "post")
         for _ in range(12):
             await posts.send()
         # The endpoint that has just answered holds the fewest requests, so the next request goes there.
@@ -128,9 +128,9 @@
             client = await sidecar.connect_client()
             waiting_clients.append(client)
             client.writer.write(request_bytes())
-            await hung.get()
+            await hung_reads.get()
         event_count = len(sidecar.events)
-        while sidecar.events[event_count:].count(CYCLE_TIMER) < 6:
+        while sidecar.events[event_count:].count(CONTROL_CYCLE_TIMER) < 6:
             for name in ("hanging", "healthy"):
                 await posts.answer_oldest(name)
                 await posts.send()
@@ -138,8 +138,8 @@
             await posts.answer_oldest("hanging")
             await check_read_is_answered(sidecar)
             await posts.send()
-        assert hung.empty()
-        assert held.counts["hanging"] == 3, held.counts
+        assert hung_reads.empty()
+        assert pending.counts["hanging"] == 3, pending.counts
 
 
 class HangingReads:
@@ -156,24 +156,24 @@
     """Time between the responses and the next posts: longer than the reuse delay of their connections."""
 
     def __init__(self, manual_time: ManualTime) -> None:
-        self.hung: list[ReceivedRequest] = []
+        self.hung_reads: list[ReceivedRequest] = []
         self.has_recovered = False
         self._time = manual_time
-        self._held = HeldRequests()
+        self._pending = PendingRequests()
 
     def script(self, name: str) -> Script:
         """Return the script of the endpoint with this name."""
-        hold = self._held.script(name)
+        wait_for_release = self._pending.script(name)
 
         async def script(request: ReceivedRequest) -> bytes | None:
             if request.request_line.startswith(b"POST"):
-                return await hold(request)
-            if not self.has_recovered or not self.hung:
-                self.hung.append(request)
+                return await wait_for_release(request)
+            if not self.has_recovered or not self.hung_reads:
+                self.hung_reads.append(request)
                 return await never_answer(request)
             # There are never two attempts at once, so the earlier one has ended. Its end and this request
             # arrive on two sockets, of which the event loop may read either one first.
-            await self.hung[-1].connection_closed.wait()
+            await self.hung_reads[-1].connection_closed.wait()
             return ok_response(b"again")
 
         return script
@@ -184,10 +184,10 @@
         """Have posts answered that were sent after the hanging reads, while time passes."""
         while not is_over():
             exchanges = asyncio.gather(*(client.exchange(request_bytes("post")) for client in clients))
-            names = [await self._held.arrivals.get() for _ in clients]
+            names = [await self._pending.arrivals.get() for _ in clients]
             self._time.advance(self.RESPONSE_TIME_NS)
             for name in names:
-                self._held.answer_oldest(name)
+                self._pending.answer_oldest(name)
             assert [response.status for response in await exchanges] == [200] * len(clients)
             self._time.advance(self.PAUSE_NS)
             await wait_until(lambda: all_attempts_are_sent(sidecar))
@@ -231,29 +231,30 @@
         posting_clients = [await sidecar.connect_client() for _ in range(reads.POST_COUNT)]
 
         # Requests that take long look like hung ones at first: some have to fail.
-        alone = await send_reads(clients[:1], sidecar, deadline="1.2")
-        await reads.serve_posts_until(alone.done, sidecar, posting_clients)
-        [response] = alone.result()
+        first_exchange = await send_reads(clients[:1], sidecar, deadline="1.2")
+        await reads.serve_posts_until(first_exchange.done, sidecar, posting_clients)
+        [response] = first_exchange.result()
         assert response.status in (503, 504)
-        assert len(reads.hung) <= 2  # not cancelled, except in the last millisecond before its deadline
-        others = await send_reads(clients[1:], sidecar, deadline="1.2")
-        await reads.serve_posts_until(others.done, sidecar, posting_clients)
-        assert {response.status for response in others.result()} <= {503, 504}
+        # The read is not cancelled, except in the last millisecond before its deadline.
+        assert len(reads.hung_reads) <= 2
+        other_exchanges = await send_reads(clients[1:], sidecar, deadline="1.2")
+        await reads.serve_posts_until(other_exchanges.done, sidecar, posting_clients)
+        assert {response.status for response in other_exchanges.result()} <= {503, 504}
 
-        reads.hung.clear()
+        reads.hung_reads.clear()
         reads.has_recovered = True
         # One in ten is never cancelled, so that the policy learns how such attempts end: not this one.
         monkeypatch.setattr(sidecar.balancer.random, "random", lambda: 0.5)
         event_count = len(sidecar.events)
-        last = await send_reads(clients[:1], sidecar, deadline="9")
+        last_exchange = await send_reads(clients[:1], sidecar, deadline="9")
 
         def is_decided() -> bool:
-            return last.done() or any(map(is_cancelled_attempt, sidecar.events[event_count:]))
+            return last_exchange.done() or any(map(is_cancelled_attempt, sidecar.events[event_count:]))
 
         await reads.serve_posts_until(is_decided, sidecar, posting_clients)
-        [response] = await last
+        [response] = await last_exchange
         assert response.status_and_body == (200, b"again")
-        assert len(reads.hung) == 1
+        assert len(reads.hung_reads) == 1
 
 
 def is_cancelled_attempt(event: Event) -> bool:
--- a/tests/simulator/test_event_decoder.py
+++ b/tests/simulator/test_event_decoder.py
@@ -16,7 +16,7 @@
 )
 from balancer.simulator import frames
 from balancer.simulator.errors import WireFormatError
-from balancer.simulator.event_decoder import EventDecoder, HostedEvent
+from balancer.simulator.event_decoder import EventDecoder, SimulatorEvent
 from tests.simulator.wire_samples import SAMPLE_BATCH, request_id
 
 BATCH_HEADER_BYTES = 16
@@ -34,7 +34,7 @@
 """An empty list, again with number 0, and an update that refers to it."""
 
 
-def decode(records: bytes, record_count: int) -> list[tuple[int, HostedEvent]]:
+def decode(records: bytes, record_count: int) -> list[tuple[int, SimulatorEvent]]:
     return list(EventDecoder().decode(records, record_count))
 
 
