--- a/balancer/simulator/adapter.py
+++ b/balancer/simulator/adapter.py
@@ -8,7 +8,7 @@
 from balancer.policy.balancer import Balancer
 from balancer.policy_api import Action, Started
 from balancer.simulator.action_encoder import encode_action, encode_failure
-from balancer.simulator.event_decoder import EventDecoder, SimulatorEvent, InstanceStarted, InstanceStopped
+from balancer.simulator.event_decoder import EventDecoder, InstanceStarted, InstanceStopped, SimulatorEvent
 from balancer.simulator.frames import Batch, encode_reply, read_batch
 
 
@@ -32,9 +32,9 @@
                 reply.extend(encode_action(instance, action) for action in actions)
             except (
                 Exception
-            ) as failure:  # the simulator has to get any failure of the decisions, with its cause
+            ) as error:  # the simulator has to get any failure of the decisions, with its cause
                 self._balancers.pop(instance, None)
-                reply.append(encode_failure(instance, f"{type(failure).__name__}: {failure}"))
+                reply.append(encode_failure(instance, f"{type(error).__name__}: {error}"))
         return reply
 
     def _handle(self, instance: int, now_ns: int, event: SimulatorEvent) -> list[Action]:
--- a/benchmarks/discovery_stand_in.py
+++ b/benchmarks/discovery_stand_in.py
@@ -131,7 +131,8 @@
 
     def _encode_snapshot(self) -> bytes:
         hosts = [
-            endpoint_entry(index, self._health_by_index.get(index, "up")) for index in range(self._endpoint_count)
+            endpoint_entry(index, self._health_by_index.get(index, "up"))
+            for index in range(self._endpoint_count)
         ]
         return self._encode_list(hosts, is_snapshot=True)
 
--- a/tests/sidecar/configuration_documents.py
+++ b/tests/sidecar/configuration_documents.py
@@ -63,12 +63,12 @@
     }
 
 
-def endpoint_list(sequence: int, *entries: dict[str, Any], is_snapshot: bool = True) -> dict[str, Any]:
+def endpoint_list(version: int, *entries: dict[str, Any], is_snapshot: bool = True) -> dict[str, Any]:
     """Return a snapshot of the endpoint list, or a delta, in the form that discovery sends."""
-    return {"seq": sequence, "whole": is_snapshot, "hosts": list(entries)}
+    return {"seq": version, "whole": is_snapshot, "hosts": list(entries)}
 
 
-def configuration(*addresses: str, discovery: str = "", **changes: Any) -> dict[str, Any]:
+def configuration(*addresses: str, discovery: str = "", **overrides: Any) -> dict[str, Any]:
     """Return the configuration of a sidecar, with overrides of its top-level keys.
 
     Its cached endpoint list has the endpoints s-0, s-1, ... at these addresses. Nothing listens at the
@@ -83,12 +83,12 @@
         "limits": {"sockets": 1024},
         "known": endpoint_list(1, *entries),
         "settings": SETTINGS,
-    } | changes
+    } | overrides
 
 
-def change_classes(*changes: dict[str, Any], **settings: Any) -> dict[str, Any]:
+def settings_with_overrides(*overrides: dict[str, Any], **settings: Any) -> dict[str, Any]:
     """Return `SETTINGS` with overrides of the first request classes, in order, and of top-level keys."""
     classes = list(SETTINGS["Categories"])
-    for index, change in enumerate(changes):
-        classes[index] = classes[index] | change
+    for index, override in enumerate(overrides):
+        classes[index] = classes[index] | override
     return SETTINGS | {"Categories": classes} | settings
--- a/tests/sidecar/discovery/test_discovery_over_sockets.py
+++ b/tests/sidecar/discovery/test_discovery_over_sockets.py
@@ -14,7 +14,7 @@
 from balancer.policy_api import EndpointHealth, EndpointUpdate, EndpointUpdateKind, Event
 from balancer.sidecar.discovery.endpoint_list import NameIndices, derive_endpoint_id, parse_endpoint_list
 from balancer.sidecar.runtime.address import Address
-from tests.sidecar.configuration_documents import change_classes, endpoint_entry, endpoint_list
+from tests.sidecar.configuration_documents import settings_with_overrides, endpoint_entry, endpoint_list
 from tests.sidecar.event_loop import TEST_TIMEOUT_SECONDS, async_test, wait_until
 from tests.sidecar.messages import ok_response, status_response
 from tests.sidecar.scripted_endpoint import (
@@ -27,7 +27,7 @@
 from tests.sidecar.sidecar_under_test import Sidecar, run_sidecar
 
 UNUSED_ADDRESS = "127.0.0.1:9"
-POLLED_SETTINGS = change_classes(Discovery="on_request")
+POLLED_SETTINGS = settings_with_overrides(Discovery="on_request")
 """The settings of a sidecar whose endpoint lists are polled, not pushed."""
 
 
--- a/tests/sidecar/process_harness.py
+++ b/tests/sidecar/process_harness.py
@@ -48,9 +48,9 @@
         self.path = directory / "config.json"
         self.listen_address = unreachable_address()
 
-    def write(self, *endpoint_addresses: str, **changes: Any) -> None:
-        """Write a configuration with the endpoints at these addresses; `changes` override its keys."""
-        document = configuration(*endpoint_addresses, listen=self.listen_address, **changes)
+    def write(self, *endpoint_addresses: str, **overrides: Any) -> None:
+        """Write a configuration with the endpoints at these addresses; `overrides` override its keys."""
+        document = configuration(*endpoint_addresses, listen=self.listen_address, **overrides)
         self.write_text(json.dumps(document))
 
     def write_text(self, text: str) -> None:
--- a/tests/sidecar/requests/test_dispatcher.py
+++ b/tests/sidecar/requests/test_dispatcher.py
@@ -27,7 +27,7 @@
 from balancer.sidecar.requests.ports import Policy
 from balancer.sidecar.runtime.metrics import Invariant, Metric
 from balancer.time_units import MILLISECOND_NS, SECOND_NS
-from tests.sidecar.configuration_documents import change_classes
+from tests.sidecar.configuration_documents import settings_with_overrides
 from tests.sidecar.event_loop import async_test, wait_until
 from tests.sidecar.messages import ok_response, request_bytes, status_response
 from tests.sidecar.runtime.clock_control import stop_clock
@@ -76,7 +76,7 @@
         await may_answer.wait()
         return ok_response(b"late" if request is endpoint.received_requests[0] else b"next")
 
-    settings = change_classes({"AimNs": 8_000_000_000})
+    settings = settings_with_overrides({"AimNs": 8_000_000_000})
     async with (
         run_endpoint(answer_later) as endpoint,
         run_sidecar(endpoint.address, settings=settings) as sidecar,
@@ -99,7 +99,7 @@
 @pytest.mark.parametrize(("latency_objective_ns", "goes_on"), [(1_500_000_000, True), (500_000_000, False)])
 @async_test
 async def test_background_attempt_ends_at_latency_objective(latency_objective_ns: int, goes_on: bool) -> None:
-    settings = change_classes({"AimNs": latency_objective_ns})
+    settings = settings_with_overrides({"AimNs": latency_objective_ns})
     async with (
         run_endpoint(never_answer) as endpoint,
         run_sidecar(endpoint.address, settings=settings) as sidecar,
@@ -118,7 +118,7 @@
 @async_test
 async def test_early_deadline_timer_starts_no_second_attempt() -> None:
     """The event loop rounds its timers. A further attempt would be a second copy in flight."""
-    settings = change_classes({"AimNs": 8_000_000_000})
+    settings = settings_with_overrides({"AimNs": 8_000_000_000})
     async with (
         run_endpoint(never_answer) as first,
         run_endpoint(never_answer) as second,
@@ -331,7 +331,7 @@
     keyed = {"Name": "post", "Effect": "dedup", "KeyScope": "cell", "WindowNs": 5 * SECOND_NS}
     async with (
         run_endpoint(answer_error_first) as endpoint,
-        run_sidecar(endpoint.address, settings=change_classes({}, keyed)) as sidecar,
+        run_sidecar(endpoint.address, settings=settings_with_overrides({}, keyed)) as sidecar,
     ):
         endpoint_id = derive_endpoint_id("s-0")
         policy = RecklessPolicy(endpoint_id, lambda request_id: StartAttempt(request_id, endpoint_id, 0, 0))
--- a/tests/sidecar/sidecar_under_test.py
+++ b/tests/sidecar/sidecar_under_test.py
@@ -102,10 +102,10 @@
     clock: Clock | None = None,
     dispatcher_loop: asyncio.AbstractEventLoop | None = None,
     timeouts: DownstreamTimeouts = DEFAULT_TIMEOUTS,
-    **changes: Any,
+    **overrides: Any,
 ) -> AsyncIterator[Sidecar]:
-    """Run a sidecar that knows the endpoints at these addresses; `changes` override its configuration."""
-    sidecar = Sidecar(configuration(*addresses, **changes), timeouts)
+    """Run a sidecar that knows the endpoints at these addresses; `overrides` override its configuration."""
+    sidecar = Sidecar(configuration(*addresses, **overrides), timeouts)
     await sidecar.start(clock, dispatcher_loop)
     try:
         yield sidecar
--- a/tests/sidecar/test_load_balancing_over_sockets.py
+++ b/tests/sidecar/test_load_balancing_over_sockets.py
@@ -4,8 +4,8 @@
 
 from tests.sidecar.configuration_documents import SETTINGS
 from tests.sidecar.event_loop import async_test, wait_until
-from tests.sidecar.pending_requests import PendingRequests
 from tests.sidecar.messages import request_bytes
+from tests.sidecar.pending_requests import PendingRequests
 from tests.sidecar.scripted_endpoint import run_endpoints
 from tests.sidecar.sidecar_under_test import run_sidecar
 
--- a/tests/sidecar/test_overload_over_sockets.py
+++ b/tests/sidecar/test_overload_over_sockets.py
@@ -12,11 +12,11 @@
 from balancer.sidecar.upstream.attempt import AttemptState
 from balancer.time_units import MILLISECOND_NS
 from tests.sidecar.client import Client, ClientResponse
-from tests.sidecar.configuration_documents import SETTINGS, change_classes, endpoint_entry, endpoint_list
+from tests.sidecar.configuration_documents import SETTINGS, settings_with_overrides, endpoint_entry, endpoint_list
 from tests.sidecar.event_loop import async_test, wait_until
-from tests.sidecar.pending_requests import PendingRequests
 from tests.sidecar.manual_time import ManualTime, event_loop_with_timers_of
 from tests.sidecar.messages import ok_response, request_bytes
+from tests.sidecar.pending_requests import PendingRequests
 from tests.sidecar.scripted_endpoint import ReceivedRequest, Script, never_answer, run_endpoints
 from tests.sidecar.sidecar_under_test import Sidecar, run_sidecar
 
@@ -65,7 +65,9 @@
             clients = PendingExchanges(sidecar, pending, "read")
             for _ in range(40):
                 await clients.send()
-            assert pending.counts["warming"] == 0  # only responses of warm endpoints add tokens for warming ones
+            assert (
+                pending.counts["warming"] == 0
+            )  # only responses of warm endpoints add tokens for warming ones
             for _ in range(80):
                 await clients.answer_oldest(max(names[:2], key=lambda name: pending.counts[name]))
                 await clients.send()
@@ -109,7 +111,7 @@
     """Hanging requests of one class are neither overload nor a fault of the endpoint for other classes."""
     pending = PendingRequests()
     hung_reads = asyncio.Queue[ReceivedRequest]()
-    settings = change_classes({"AimNs": 200_000_000})
+    settings = settings_with_overrides({"AimNs": 200_000_000})
     async with (
         run_endpoints(hang_on_reads(pending, hung_reads), serve_reads(pending)) as endpoints,
         run_sidecar(*(endpoint.address for endpoint in endpoints), settings=settings) as sidecar,
@@ -224,7 +226,7 @@
             *(endpoint.address for endpoint in endpoints),
             clock=manual_time,
             dispatcher_loop=event_loop_with_timers_of(manual_time),
-            settings=change_classes({"AimNs": 200_000_000}, Limits=limits),
+            settings=settings_with_overrides({"AimNs": 200_000_000}, Limits=limits),
         ) as sidecar,
     ):
         clients = [await sidecar.connect_client() for _ in range(16)]
--- a/tests/sidecar/upstream/test_attempt_connecting.py
+++ b/tests/sidecar/upstream/test_attempt_connecting.py
@@ -10,7 +10,7 @@
 from balancer.sidecar.discovery.endpoint_list import derive_endpoint_id
 from balancer.sidecar.upstream.pool import CONNECTION_REUSE_DELAY_NS
 from balancer.time_units import SECOND_NS
-from tests.sidecar.configuration_documents import SETTINGS, change_classes
+from tests.sidecar.configuration_documents import SETTINGS, settings_with_overrides
 from tests.sidecar.event_loop import async_test, wait_until
 from tests.sidecar.messages import ok_response, request_bytes
 from tests.sidecar.scripted_endpoint import ReceivedRequest, answer_ok, run_endpoint
@@ -94,7 +94,7 @@
     """Reported as a timeout, a request that must not run twice would be answered as failed."""
     # No answer counts after the latency objective, so the attempt times out then.
     brief_class = {"LateWorth": 0, "AimNs": 20_000_000}
-    brief = change_classes(brief_class, brief_class)
+    brief = settings_with_overrides(brief_class, brief_class)
     async with (
         run_endpoint(answer_ok) as endpoint,
         run_sidecar(
@@ -243,7 +243,7 @@
     async with (
         run_endpoint(close_first_connection) as first,
         run_endpoint(close_first_connection) as second,
-        run_sidecar(first.address, second.address, settings=change_classes({}, DEDUPLICATED)) as sidecar,
+        run_sidecar(first.address, second.address, settings=settings_with_overrides({}, DEDUPLICATED)) as sidecar,
     ):
         gate = ConnectGate(sidecar, holds_established=False)
         now_ns = sidecar.dispatcher.clock.monotonic_ns
