--- a/balancer/simulator/__init__.py
+++ b/balancer/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""The adapter that connects the decisions of many sidecars to the simulator, over its binary protocol."""
+"""The adapter that runs the policies of many simulated sidecars over the simulator's binary protocol."""
--- a/balancer/simulator/__main__.py
+++ b/balancer/simulator/__main__.py
@@ -1,4 +1,4 @@
-"""The simulator's adapter as a program: batches on standard input, replies on standard output."""
+"""Runs the simulator's adapter: reads batches from standard input, writes replies to standard output."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 from balancer.simulator.errors import WireFormatError
 
 EXIT_MALFORMED_INPUT = 2
-"""Exit status if the input breaks the simulator's protocol."""
+"""Exit status if the input violates the simulator's protocol."""
 
 
 def main() -> int:
-    """Answer batches until the input ends. Returns the exit status."""
+    """Reply to batches until the input ends. Returns the exit status."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except WireFormatError as error:
--- a/balancer/simulator/action_encoder.py
+++ b/balancer/simulator/action_encoder.py
@@ -1,4 +1,4 @@
-"""Encode the actions of the decisions as action records of the simulator's wire."""
+"""Encodes the actions of the policy as action records of the simulator's protocol."""
 
 from __future__ import annotations
 
@@ -25,18 +25,18 @@
 
 ActionT = TypeVar("ActionT", bound=Action)
 ActionEncoder: TypeAlias = Callable[[int, ActionT], bytes]
-"""A function that encodes one type of action of the instance with this number."""
+"""A function that encodes actions of one type; its first argument is the number of the instance."""
 
 MAX_TEXT_BYTES = 60_000
-"""Longest text of a log line or a failure, in bytes; its length has to fit into two bytes."""
+"""Maximum length of the text of a log line or a failure, in bytes; its length field has two bytes."""
 
 _RECIPIENT_MASK = 0xFFFF
-"""Turns the recipient -1, which stands for all sidecars, into a field of two bytes with all bits set."""
+"""Converts the recipient -1, which stands for all sidecars, to a two-byte field with all bits set."""
 
 
 def _packer(code: ActionCode, field_formats: str) -> Callable[..., bytes]:
-    """Return a function that packs the record code, the instance and fields of these `struct` formats."""
-    # The code is bound as a plain int, as converting a member of an enum takes longer than the packing.
+    """Return a function that packs the record code, the instance and fields with these `struct` formats."""
+    # The code is bound as a plain int: converting an enum member takes longer than packing the record.
     return partial(Struct(f"<BH{field_formats}").pack, code.value)
 
 
@@ -60,7 +60,7 @@
 
 
 def encode_failure(instance: int, description: str) -> bytes:
-    """Encode a report that the decisions of an instance have failed, which ends the simulated scenario."""
+    """Encode a report that the policy of an instance has failed, which ends the simulated scenario."""
     text = _encode_text(description)
     return _pack_report_failure(instance, len(text)) + text
 
@@ -119,7 +119,7 @@
 def _encoder_entry(
     action_type: type[ActionT], encoder: ActionEncoder[ActionT]
 ) -> tuple[type[object], ActionEncoder[Action]]:
-    """Pair a type of action with its encoder, which is only ever called with actions of this type."""
+    """Pair an action type with its encoder, which is only called with actions of this type."""
     return action_type, cast("ActionEncoder[Action]", encoder)
 
 
--- a/balancer/simulator/adapter.py
+++ b/balancer/simulator/adapter.py
@@ -1,4 +1,7 @@
-"""Run the decisions of many sidecars on the simulator's wire; the adapter takes no decisions itself."""
+"""Runs the policies of many simulated sidecars over the simulator's protocol.
+
+The adapter only translates and makes no decisions itself. An instance is one simulated sidecar.
+"""
 
 from __future__ import annotations
 
@@ -13,7 +16,7 @@
 
 
 class InstanceHost:
-    """The simulated sidecars of this process, by the number of the instance."""
+    """Holds the policies of the simulated sidecars in this process, by the number of the instance."""
 
     def __init__(self) -> None:
         self._decoder = EventDecoder()
@@ -23,16 +26,15 @@
         """Handle the events of a batch in order. Returns the records of the reply.
 
         Raises:
-            WireFormatError: the batch breaks the simulator's protocol.
+            WireFormatError: the batch violates the simulator's protocol.
         """
         reply: list[bytes] = []
         for instance, event in self._decoder.decode(batch.records, batch.record_count):
             try:
                 actions = self._handle(instance, batch.now_ns, event)
                 reply.extend(encode_action(instance, action) for action in actions)
-            except (
-                Exception
-            ) as error:  # the simulator has to get any failure of the decisions, with its cause
+            except Exception as error:
+                # The simulator gets any failure of a policy with its cause; the other instances continue.
                 self._balancers.pop(instance, None)
                 reply.append(encode_failure(instance, f"{type(error).__name__}: {error}"))
         return reply
@@ -45,7 +47,7 @@
             return []
         balancer = self._balancers.get(instance)
         if balancer is None:
-            return []  # the instance has never been started, or has failed
+            return []  # the instance is not started, has been stopped or has failed
         return balancer.handle(now_ns, event)
 
     def _start_instance(self, instance: int, now_ns: int, event: InstanceStarted) -> list[Action]:
@@ -56,10 +58,10 @@
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answer batches until the input ends.
+    """Reply to batches until the input ends.
 
     Raises:
-        WireFormatError: the input breaks the simulator's protocol; the batch at fault gets no reply.
+        WireFormatError: the input violates the simulator's protocol; the malformed batch gets no reply.
     """
     host = InstanceHost()
     while (batch := read_batch(source)) is not None:
--- a/balancer/simulator/errors.py
+++ b/balancer/simulator/errors.py
@@ -1,4 +1,4 @@
-"""Errors for malformed input on the simulator's wire."""
+"""Errors for input that violates the simulator's protocol."""
 
 from __future__ import annotations
 
@@ -15,17 +15,17 @@
     """The input ended inside a frame."""
 
     def __init__(self, part: str, expected_bytes: int, received_bytes: int) -> None:
-        super().__init__(f"truncated {part}")
+        super().__init__(f"truncated input: it ends inside a {part}")
         self.part = part
         self.expected_bytes = expected_bytes
         self.received_bytes = received_bytes
 
 
 class FrameLengthError(WireFormatError):
-    """The length in the header of a frame is less than that of the header."""
+    """The frame length in a frame header is less than the length of the header itself."""
 
     def __init__(self, frame_bytes: int) -> None:
-        super().__init__(f"impossible frame length {frame_bytes}")
+        super().__init__(f"expected a frame length of at least the header's length, got {frame_bytes}")
         self.frame_bytes = frame_bytes
 
 
@@ -33,7 +33,7 @@
     """A frame holds fewer records than its header announces."""
 
     def __init__(self, announced_records: int, decoded_records: int) -> None:
-        super().__init__("truncated frame: a record is missing")
+        super().__init__("truncated frame: it has fewer records than its header announces")
         self.announced_records = announced_records
         self.decoded_records = decoded_records
 
@@ -50,7 +50,7 @@
     """The byte string of a record extends past the end of its frame."""
 
     def __init__(self, expected_bytes: int, remaining_bytes: int) -> None:
-        super().__init__("truncated frame: a record runs past its end")
+        super().__init__("truncated frame: the byte string of a record extends past the end of the frame")
         self.expected_bytes = expected_bytes
         self.remaining_bytes = remaining_bytes
 
@@ -59,7 +59,7 @@
     """An endpoint list announces more entries than the rest of its frame holds."""
 
     def __init__(self, list_number: int, entry_count: int) -> None:
-        super().__init__("truncated pool")
+        super().__init__("truncated endpoint list: it announces more entries than its frame holds")
         self.list_number = list_number
         self.entry_count = entry_count
 
@@ -90,26 +90,26 @@
 
 
 class UnknownOutcomeCodeError(UnknownCodeError):
-    """The outcome of an attempt or a health check is undefined."""
+    """An attempt or a health check has an outcome code that the protocol does not define."""
 
     message_format = "unknown outcome code {code}"
 
 
 class UnknownUpdateKindError(UnknownCodeError):
-    """The kind of an endpoint update is undefined."""
+    """An endpoint update has a kind that the protocol does not define."""
 
-    message_format = "unknown list kind {code}"
+    message_format = "unknown endpoint update kind {code}"
 
 
 class UnknownHealthCodeError(UnknownCodeError):
-    """The health of an entry of an endpoint list is undefined."""
+    """An entry of an endpoint list has a health code that the protocol does not define."""
 
-    message_format = "unknown health {code} in a pool"
+    message_format = "unknown health code {code} in an endpoint list"
 
 
 class UndefinedEndpointListError(WireFormatError):
     """An endpoint update refers to an endpoint list that no earlier record defined."""
 
     def __init__(self, list_number: int) -> None:
-        super().__init__(f"list {list_number} was never defined")
+        super().__init__(f"endpoint list {list_number} is not defined by any earlier record")
         self.list_number = list_number
--- a/balancer/simulator/event_decoder.py
+++ b/balancer/simulator/event_decoder.py
@@ -1,4 +1,4 @@
-"""Decode the event records of the simulator's wire into the events of the decisions."""
+"""Decodes the event records of the simulator's protocol into events of the policy."""
 
 from __future__ import annotations
 
@@ -47,7 +47,10 @@
 
 @dataclass(frozen=True, slots=True)
 class InstanceStarted:
-    """An instance was started. Its settings are not parsed yet, as invalid ones are its own failure."""
+    """An instance was started.
+
+    The settings are not parsed yet: invalid settings are a failure of the instance, not of the protocol.
+    """
 
     random_seed: int
     settings_json: bytes
@@ -55,24 +58,27 @@
 
 @dataclass(frozen=True, slots=True)
 class InstanceStopped:
-    """An instance was killed, and its state is lost."""
+    """An instance was killed; its state is lost."""
 
 
 SimulatorEvent: TypeAlias = InstanceStarted | InstanceStopped | Event
-"""An event of an instance: one of its decisions, or its start or end."""
+"""What the simulator sends to an instance: an event for its policy, or its start or end."""
 
-# A plain tuple, as one is created for every event and a class would cost more time.
+# A plain tuple: one is created for every event, and an object of a class takes longer to create.
 InstanceEvent: TypeAlias = tuple[int, SimulatorEvent]
-"""The number of an instance, and its event."""
+"""The number of an instance and its event."""
 
 FixedFields: TypeAlias = tuple[int, *tuple[int | bytes, ...]]
-"""The fixed fields of a record; the first is the number of the instance, or that of an endpoint list."""
+"""The fixed fields of a record.
+
+The first field is the number of the instance, or of the endpoint list in a record that defines one.
+"""
 
 FieldsT = TypeVar("FieldsT", bound=tuple[int, *tuple[int | bytes, ...]])
 
 
 class RecordType:
-    """A type of event record: the layout of its fixed fields, and how an event is built from them."""
+    """A type of event record: the layout of its fixed fields and the function that builds its event."""
 
     __slots__ = ("build_event", "fixed_fields_bytes", "unpack_from")
 
@@ -82,11 +88,11 @@
         """Create the type.
 
         Args:
-            field_formats: The formats of `struct` of the fixed fields, which follow the record code.
-            build_event: Called with the fixed fields and a reader of the bytes after them. Returns None for a
-                record that is no event.
+            field_formats: The `struct` formats of the fixed fields, which follow the record code.
+            build_event: Called with the fixed fields and a reader that is positioned after them. Returns None
+                for a record that is not an event.
         """
-        layout = struct.Struct(f"<x{field_formats}")  # the record code has been read by the caller
+        layout = struct.Struct(f"<x{field_formats}")  # "x" skips the record code, which the caller has read
         self.fixed_fields_bytes = layout.size
         self.unpack_from: Callable[[bytes, int], FixedFields] = layout.unpack_from
         self.build_event = cast("Callable[[FixedFields, RecordReader], SimulatorEvent | None]", build_event)
@@ -97,11 +103,11 @@
 
 
 class EventDecoder:
-    """Decodes batches, and stores the numbered endpoint lists that all instances of the process share."""
+    """Decodes batches and stores the numbered endpoint lists, which all instances of the process share."""
 
     def __init__(self) -> None:
         self._endpoint_lists: dict[int, tuple[Endpoint, ...]] = {}
-        # The keys are plain numbers, as looking up members of an enum takes longer.
+        # The keys are plain integers: looking up enum members takes longer.
         self._record_types: dict[int, RecordType] = {
             EventCode.ENDPOINT_LIST.value: RecordType("HI", self._define_endpoint_list),
             EventCode.HEALTH_CHECK_COMPLETED.value: RecordType("H6sHQB", _build_health_check_completed),
@@ -120,7 +126,7 @@
         """Decode the records of one batch, in order.
 
         Raises:
-            WireFormatError: the records break the protocol; the events before the fault have been yielded.
+            WireFormatError: the records violate the protocol; the earlier events have been yielded.
         """
         record_types = self._record_types
         reader = RecordReader(records)
--- a/balancer/simulator/frames.py
+++ b/balancer/simulator/frames.py
@@ -1,6 +1,7 @@
-"""Frames of the simulator's wire: batches of event records in, replies with action records out.
+"""Frames of the simulator's protocol: received batches of event records, sent replies of action records.
 
-All numbers are little-endian, without padding. A frame is a header, followed by as many records as it says.
+All numbers are little-endian, without padding. A frame is a header, followed by as many records as the header
+says.
 """
 
 from __future__ import annotations
@@ -12,10 +13,10 @@
 from balancer.simulator.errors import FrameLengthError, TruncatedFrameError
 
 BATCH_HEADER = Struct("<IQI")
-"""Length of the frame with this header in bytes, clock in nanoseconds, number of records."""
+"""Length of the frame in bytes, including this header; clock in nanoseconds; number of records."""
 
 REPLY_HEADER = Struct("<II")
-"""Number of records, length of the frame with this header in bytes."""
+"""Number of records; length of the frame in bytes, including this header."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -25,7 +26,7 @@
     now_ns: int
     record_count: int
     records: bytes
-    """All records, one after the other."""
+    """The bytes of all records, in order and without gaps."""
 
 
 def read_batch(source: BinaryIO) -> Batch | None:
@@ -51,6 +52,6 @@
 
 
 def encode_reply(records: list[bytes]) -> bytes:
-    """Return the reply to a batch, with these action records."""
+    """Return the reply frame to a batch, with these action records."""
     body = b"".join(records)
     return REPLY_HEADER.pack(len(records), REPLY_HEADER.size + len(body)) + body
--- a/balancer/simulator/record_codes.py
+++ b/balancer/simulator/record_codes.py
@@ -1,4 +1,4 @@
-"""The codes of records, outcomes, update kinds and health states on the simulator's wire.
+"""The codes of records, outcomes, update kinds and health states in the simulator's protocol.
 
 Events and actions have separate sets of record codes. The comments give the names in the simulator's manual.
 """
@@ -69,7 +69,7 @@
 }
 
 WORK_HINT_PRESENT_FLAG: Final = 1
-"""Bit of the flags of a request: its work hint is set."""
+"""Bit in the flags of a request: the request has a work hint."""
 
 CLIENT_RETRY_FLAG: Final = 2
-"""Bit of the flags of a request: the client marked it as a retry."""
+"""Bit in the flags of a request: the client marked it as a retry."""
--- a/balancer/simulator/record_reader.py
+++ b/balancer/simulator/record_reader.py
@@ -1,4 +1,4 @@
-"""Read the variable part of a record, which follows its fixed fields."""
+"""Reads the variable-length part of a record, which follows its fixed fields."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 from balancer.simulator.errors import RecordOverrunError
 
 _MAX_FLOATS = 255
-"""Largest number of floats in a record: the number is one byte on the wire."""
+"""Maximum number of floats in a record: their count is one byte on the wire."""
 
 _FLOAT_ARRAYS = tuple(struct.Struct(f"<{count}f") for count in range(_MAX_FLOATS + 1))
-"""The layouts of arrays of floats, by their length."""
+"""The layouts of float arrays, by the number of floats."""
 
 
 class RecordReader:
-    """A position in the records of a batch, which advances as they are read."""
+    """Reads the records of a batch from a position that advances with each read."""
 
     __slots__ = ("_records", "position")
 
@@ -23,7 +23,7 @@
         self.position = 0
 
     def read_bytes(self, count: int) -> bytes:
-        """Read a byte string; raises RecordOverrunError if the batch ends before."""
+        """Read a byte string. Raises RecordOverrunError if the batch ends inside it."""
         start = self.position
         end = start + count
         self.position = end
@@ -32,7 +32,7 @@
         return self._records[start:end]
 
     def read_floats(self, count: int) -> tuple[float, ...]:
-        """Read floats of four bytes each; raises struct.error if the batch ends before."""
+        """Read floats of four bytes each. Raises struct.error if the batch ends inside them."""
         layout = _FLOAT_ARRAYS[count]
         floats = layout.unpack_from(self._records, self.position)
         self.position += layout.size
--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,5 +1,5 @@
 """Benchmarks of the processor time, memory and discovery traffic of the sidecar.
 
-`python -m benchmarks.membership_cost` and `python -m benchmarks.control_cost`, each with `--help`.
+Run `python -m benchmarks.membership_cost` or `python -m benchmarks.control_cost`; `--help` lists the options.
 The figures depend on the machine and on what else runs there. The sidecar does not import this package.
 """
--- a/benchmarks/command_line.py
+++ b/benchmarks/command_line.py
@@ -1,4 +1,4 @@
-"""The command line that all benchmarks share: their options, and how they print their results."""
+"""The options and the output format that all benchmarks share."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 """Lengths of the endpoint list that are measured by default."""
 
 MAX_ENTRIES = 1_000_000
-"""Longest endpoint list that can be measured: every entry is an object in memory."""
+"""Maximum length of a measured endpoint list; the limit exists as every entry is an object in memory."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -24,6 +24,7 @@
     entries: tuple[int, ...]
     """Lengths of the endpoint lists to measure, in this order."""
     as_json: bool
+    """Whether to print the results as JSON."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -43,7 +44,7 @@
 
 
 class _OneLineParser(argparse.ArgumentParser):
-    """Reports invalid arguments in one line, without the usage."""
+    """An argument parser that reports invalid arguments in one line, without the usage text."""
 
     def error(self, message: str) -> NoReturn:
         """Print the message and exit with status 2."""
@@ -87,5 +88,5 @@
     except ValueError:
         count = 0
     if not 1 <= count <= MAX_ENTRIES:
-        raise argparse.ArgumentTypeError(f"{text!r} is not a number from 1 to {MAX_ENTRIES}")
+        raise argparse.ArgumentTypeError(f"{text!r} is not an integer from 1 to {MAX_ENTRIES}")
     return count
--- a/benchmarks/control_cost.py
+++ b/benchmarks/control_cost.py
@@ -1,8 +1,11 @@
-"""Measures what discovery costs one real sidecar process that serves no requests.
+"""Measures the cost of discovery in one real sidecar process that serves no requests.
 
-For each length of the endpoint list, with a stand-in for the discovery agent: the time from start to ready,
-RSS, the share of a core while nothing changes and at one change a second, calls and bytes a second of the
-agent while nothing changes, and the CPU time for a burst in which one endpoint of 19 begins to drain.
+A stand-in for the discovery agent serves the endpoint list. For each length the benchmark measures
+
+- the time from the start of the process until it is ready, and its RSS,
+- the share of a core that it uses while nothing changes, and at one change a second,
+- the calls and bytes a second of the agent while nothing changes, and
+- the CPU time for a burst in which one in 19 endpoints begins to drain.
 """
 
 from __future__ import annotations
@@ -26,7 +29,7 @@
 """Pause after the start, so that the work of the start is not counted as idle usage."""
 
 IDLE_SECONDS = 10.0
-"""How long idle usage is measured: long enough for processor time in steps of 10 ms."""
+"""How long idle usage is measured: long enough for the resolution of processor time, which is 10 ms."""
 
 CHANGE_COUNT = 10
 """Number of single changes of the endpoint list."""
@@ -35,16 +38,16 @@
 """Time between two single changes."""
 
 BURST_DIVISOR = ZONE_COUNT
-"""A burst drains one endpoint in this many: as many endpoints as a zone has."""
+"""A burst drains one in this many endpoints: as many endpoints as one zone has."""
 
 BURST_INTERVAL_SECONDS = 0.002
-"""Time between two changes of a burst, so that they come in several deltas."""
+"""Time between two changes of a burst: long enough that they arrive in several deltas."""
 
 BURST_SETTLING_SECONDS = 2.0
 """Pause after a burst, in which the sidecar receives and handles the last deltas."""
 
 EXIT_FAILURE = 1
-"""Exit status if the sidecar does not start or ends early."""
+"""Exit status if the sidecar does not become ready or exits early."""
 
 EXIT_INTERRUPTED = 130
 """Exit status after SIGINT or SIGTERM, as shells report an interrupted program."""
@@ -58,7 +61,7 @@
     rss_megabytes: float
     idle_cpu_share: float
     changing_cpu_share: float
-    """At one change a second."""
+    """Measured at one change of the endpoint list a second."""
     agent_bytes_per_second: float
     agent_calls_per_second: float
     burst_drains: int
@@ -77,7 +80,7 @@
 
 @dataclass(frozen=True, slots=True)
 class IdleUsage:
-    """What a sidecar uses while the endpoint list does not change; the share is of one core."""
+    """Usage of a sidecar while the endpoint list does not change; the share is of one core."""
 
     cpu_share: float
     agent_bytes_per_second: float
@@ -88,7 +91,7 @@
     """Measure a sidecar with an endpoint list of this length.
 
     Raises:
-        BenchmarkError: the sidecar did not start, or ended while it was measured.
+        BenchmarkError: the sidecar did not become ready, or exited while it was measured.
     """
     async with DiscoveryStandIn(entries) as discovery:
         started = time.monotonic()
@@ -131,7 +134,7 @@
 
 
 async def _measure_until_terminated(entries: int) -> ControlCost:
-    """Measure; on SIGTERM the sidecar is ended as well, as it is on SIGINT by `asyncio.run`."""
+    """Measure, and also stop the sidecar on SIGTERM; on SIGINT `asyncio.run` does so."""
     task = asyncio.current_task()
     if task is not None:
         asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, task.cancel)
@@ -153,7 +156,7 @@
 
 
 async def _measure_changes(sidecar: SidecarProcess, discovery: DiscoveryStandIn, entries: int) -> float:
-    """Return the share of a core that is used at one change a second."""
+    """Change the list once a second. Returns the share of a core that the sidecar uses meanwhile."""
     cpu_before = sidecar.cpu_seconds()
     for index in range(CHANGE_COUNT):
         await discovery.set_health(index % entries, "draining")
@@ -162,12 +165,12 @@
 
 
 async def _measure_burst(
-    sidecar: SidecarProcess, discovery: DiscoveryStandIn, entries: int, drains: int
+    sidecar: SidecarProcess, discovery: DiscoveryStandIn, entries: int, drain_count: int
 ) -> float:
-    """Return the processor time, in seconds, for a burst of drains of endpoints that are still ready."""
+    """Drain a burst of endpoints that are still ready. Returns the processor time used, in seconds."""
     cpu_before = sidecar.cpu_seconds()
-    for drain in range(drains):
-        await discovery.set_health((CHANGE_COUNT + drain) % entries, "draining")
+    for drain_index in range(drain_count):
+        await discovery.set_health((CHANGE_COUNT + drain_index) % entries, "draining")
         await asyncio.sleep(BURST_INTERVAL_SECONDS)
     await asyncio.sleep(BURST_SETTLING_SECONDS)
     return sidecar.cpu_seconds() - cpu_before
--- a/benchmarks/discovery_stand_in.py
+++ b/benchmarks/discovery_stand_in.py
@@ -1,7 +1,8 @@
 """A stand-in for the discovery agent: an HTTP/1.1 server with an endpoint list that can be changed.
 
-`GET /discovery/hosts` is answered with a snapshot. With `?from=VERSION&hold_ms=MILLISECONDS` it is a watch,
-which is answered with a delta of all changes after that version, once there are any or the hold is over.
+A call is one HTTP request and its response. `GET /discovery/hosts` returns a snapshot of the list. With
+`?from=VERSION&hold_ms=MILLISECONDS` the call is a watch, a long poll: it returns a delta with all changes
+after that version as soon as there are any, or an empty delta after the timeout in `hold_ms`.
 """
 
 from __future__ import annotations
@@ -19,24 +20,24 @@
 """An entry of the endpoint list, in the form that discovery sends."""
 
 _HEAD_LIMIT_BYTES = 1 << 20
-"""Longest head of a call; the heads of a sidecar are far shorter."""
+"""Maximum length of the head of a request; the heads that a sidecar sends are far shorter."""
 
 
 @dataclass(frozen=True, slots=True)
 class TransferTotals:
-    """Traffic of the agent so far."""
+    """Traffic of the agent since its start."""
 
     calls: int
     bytes_transferred: int
-    """Requests and responses, with their headers."""
+    """Bytes of all requests and responses, including their headers."""
 
 
 class MalformedCallError(Exception):
-    """A request is not a call of the discovery protocol."""
+    """A request violates the discovery protocol."""
 
 
 class DiscoveryStandIn:
-    """A discovery agent on a free port of 127.0.0.1, as an asynchronous context manager."""
+    """An asynchronous context manager that runs a discovery agent on a free port of 127.0.0.1."""
 
     def __init__(self, endpoint_count: int) -> None:
         self._endpoint_count = endpoint_count
@@ -50,7 +51,7 @@
         self._bytes_transferred = 0
 
     async def __aenter__(self) -> Self:
-        """Start to listen."""
+        """Start listening."""
         self._server = await asyncio.start_server(self._accept, "127.0.0.1", 0, limit=_HEAD_LIMIT_BYTES)
         return self
 
@@ -74,7 +75,7 @@
 
     @property
     def totals(self) -> TransferTotals:
-        """Traffic so far."""
+        """Traffic since the start."""
         return TransferTotals(self._calls, self._bytes_transferred)
 
     async def set_health(self, index: int, health: str) -> None:
@@ -86,7 +87,7 @@
             self._change_condition.notify_all()
 
     def _accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        # A task that the server made itself would report its cancellation as an error.
+        # If asyncio created the task, it would report the cancellation of the task as an error.
         task = asyncio.create_task(self._serve_connection(reader, writer))
         self._connections.add(task)
         task.add_done_callback(self._connections.discard)
@@ -130,19 +131,19 @@
                 await self._change_condition.wait_for(lambda: self._version > since_version)
 
     def _encode_snapshot(self) -> bytes:
-        hosts = [
+        entries = [
             endpoint_entry(index, self._health_by_index.get(index, "up"))
             for index in range(self._endpoint_count)
         ]
-        return self._encode_list(hosts, is_snapshot=True)
+        return self._encode_list(entries, is_snapshot=True)
 
     def _encode_delta(self, since_version: int) -> bytes:
-        hosts = [self._entry_by_version[version] for version in range(since_version + 1, self._version + 1)]
-        return self._encode_list(hosts, is_snapshot=False)
+        entries = [self._entry_by_version[version] for version in range(since_version + 1, self._version + 1)]
+        return self._encode_list(entries, is_snapshot=False)
 
-    def _encode_list(self, hosts: list[EndpointJson], *, is_snapshot: bool) -> bytes:
-        answer = {"seq": self._version, "whole": is_snapshot, "hosts": hosts}
-        return json.dumps(answer, separators=(",", ":")).encode()
+    def _encode_list(self, entries: list[EndpointJson], *, is_snapshot: bool) -> bytes:
+        document = {"seq": self._version, "whole": is_snapshot, "hosts": entries}
+        return json.dumps(document, separators=(",", ":")).encode()
 
 
 def endpoint_entry(index: int, health: str = "up") -> EndpointJson:
--- a/benchmarks/errors.py
+++ b/benchmarks/errors.py
@@ -8,17 +8,17 @@
 
 
 class SidecarNotReadyError(BenchmarkError):
-    """The sidecar did not answer its readiness check in time."""
+    """The sidecar did not pass its readiness check in time."""
 
     def __init__(self, timeout_seconds: float) -> None:
-        super().__init__(f"the sidecar was not ready in {timeout_seconds:.0f} s")
+        super().__init__(f"the sidecar was not ready within {timeout_seconds:.0f} s")
         self.timeout_seconds = timeout_seconds
 
 
 class SidecarExitedError(BenchmarkError):
-    """The sidecar ended while it was measured."""
+    """The sidecar exited while it was measured."""
 
     def __init__(self, exit_code: int | None) -> None:
         description = "" if exit_code is None else f" with exit code {exit_code}"
-        super().__init__(f"the sidecar ended{description}")
+        super().__init__(f"the sidecar exited{description}")
         self.exit_code = exit_code
--- a/benchmarks/membership_cost.py
+++ b/benchmarks/membership_cost.py
@@ -1,7 +1,10 @@
-"""Measures what the length of the endpoint list costs the decisions, in CPU time and in memory.
+"""Measures how the length of the endpoint list affects the CPU time and memory of the policy.
 
-For each length, with a real `Balancer` and no network: the time to handle a snapshot, a delta of one entry
-and a timer, the time of one request with its completion, and the memory that the balancer holds.
+For each length, with a real `Balancer` and no network, the benchmark measures
+
+- the time to handle a snapshot, a delta of one entry, and a timer,
+- the time to handle one request and the completion of its attempt, and
+- the memory that the balancer holds.
 """
 
 from __future__ import annotations
@@ -43,22 +46,22 @@
 """Client timeout of the only request class."""
 
 ATTEMPT_DURATION_NS = 20 * MILLISECOND_NS
-"""Time that each attempt takes, by the clock of the events."""
+"""Time that each attempt takes, on the clock of the events."""
 
 EVENT_INTERVAL_NS = MILLISECOND_NS
-"""Time between two events, by their clock."""
+"""Time between two events, on the clock of the events."""
 
 SLOW_START_DURATION_NS = 8_000 * MILLISECOND_NS
 """How long endpoints warm up."""
 
 RANDOM_SEED = 1
-"""Seed of the balancer, the same in every run, so that runs take the same decisions."""
+"""Seed of the balancer; it is fixed so that every run makes the same decisions."""
 
 ROUND_COUNT = 3
-"""Number of rounds for each figure, of which the fastest counts."""
+"""Number of rounds for each figure; the fastest round is reported."""
 
 SNAPSHOTS_PER_ROUND = 3
-"""Few, as the time of a snapshot grows with the endpoint list."""
+"""Number of snapshots in a round: few, as the time of a snapshot grows with the endpoint list."""
 
 DELTAS_PER_ROUND = 20
 """Number of deltas in a round."""
@@ -67,7 +70,7 @@
 """Number of timer events in a round."""
 
 REQUESTS_PER_ROUND = 200
-"""Many, as a single request takes too little time to be measured by itself."""
+"""Number of requests in a round: many, as one request takes too little time to be measured by itself."""
 
 MICROSECONDS_PER_SECOND = 1e6
 KIBIBYTES_PER_MEBIBYTE = 1024
@@ -76,16 +79,20 @@
 
 @dataclass(frozen=True, slots=True)
 class MembershipCost(BenchmarkResult):
-    """Cost of the decisions for one length of the endpoint list; times are those of one event."""
+    """Cost of the policy for one length of the endpoint list.
+
+    Each time is that of one event; the time of a request includes the completion of its attempt.
+    """
 
     snapshot_microseconds: float
     delta_microseconds: float
     timer_microseconds: float
     request_microseconds: float
     held_bytes: int
+    """Memory that the balancer holds after the first snapshot."""
     held_bytes_per_entry: float
     peak_rss_megabytes: float
-    """Of the whole process so far, and so of the longest endpoint list up to here."""
+    """Peak of the whole process so far, and so of the longest endpoint list measured so far."""
 
     def to_line(self) -> str:
         """Return the figures as one line of text."""
@@ -99,7 +106,7 @@
 
 
 class MembershipBenchmark:
-    """A `Balancer` with an endpoint list of a given length, and the clock of its events."""
+    """Measures a `Balancer` with an endpoint list of a given length, and keeps the clock of its events."""
 
     def __init__(self, entries: int) -> None:
         self._entries = entries
@@ -179,7 +186,7 @@
 
 
 def _fastest_mean_microseconds(operation: Callable[[int], None], iterations: int) -> float:
-    """Return the mean time of one call in the fastest round, as other programs can only add to that time."""
+    """Return the mean time of one call in the fastest round: other programs can only slow down a round."""
     fastest_seconds = float("inf")
     for _ in range(ROUND_COUNT):
         started = time.perf_counter()
@@ -189,7 +196,7 @@
     return fastest_seconds * MICROSECONDS_PER_SECOND
 
 
-def _settings(instance_count: int) -> Settings:
+def _settings(sidecar_count: int) -> Settings:
     request_class = RequestClass(
         name="read",
         latency_objective_ns=LATENCY_OBJECTIVE_NS,
@@ -198,7 +205,7 @@
     )
     return Settings(
         classes=(request_class,),
-        instance_count=instance_count,
+        instance_count=sidecar_count,
         zone_count=ZONE_COUNT,
         health_checks_enabled=True,
         handshake_price=0.06,
--- a/benchmarks/process_usage.py
+++ b/benchmarks/process_usage.py
@@ -1,4 +1,4 @@
-"""Processor time and memory of a running process, from /proc (see proc(5))."""
+"""Reads the processor time and memory of a running process from /proc (see proc(5))."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 """Position of utime in /proc/PID/stat, counted from the state, which follows the name in parentheses."""
 
 _SYSTEM_TICKS_FIELD = 12
-"""Position of stime, counted likewise."""
+"""Position of stime, counted in the same way."""
 
 _KIBIBYTES_PER_MEBIBYTE = 1024
 
@@ -24,7 +24,7 @@
         OSError: there is no such process.
     """
     stat = Path(f"/proc/{process_id}/stat").read_text()
-    _name, _parenthesis, rest = stat.rpartition(")")  # a name may hold parentheses itself
+    _name, _parenthesis, rest = stat.rpartition(")")  # the name may contain parentheses itself
     fields = rest.split()
     ticks = int(fields[_USER_TICKS_FIELD]) + int(fields[_SYSTEM_TICKS_FIELD])
     return ticks / _CLOCK_TICKS_PER_SECOND
--- a/benchmarks/sidecar_process.py
+++ b/benchmarks/sidecar_process.py
@@ -1,4 +1,4 @@
-"""Run one sidecar as a process of its own, with a discovery agent on this machine."""
+"""Runs one sidecar as a separate process that uses a discovery agent on this machine."""
 
 from __future__ import annotations
 
@@ -23,10 +23,10 @@
 """How long a sidecar may take to become ready, on a slow machine and with the longest endpoint list."""
 
 READY_POLL_SECONDS = 0.02
-"""Pause between two readiness checks, and so the error of the measured time to ready."""
+"""Pause between two readiness checks; the measured time until ready may be too long by this much."""
 
 STOP_TIMEOUT_SECONDS = 10.0
-"""How long a sidecar may take to end after SIGTERM before it is killed."""
+"""How long a sidecar may take to exit after SIGTERM before it is killed."""
 
 SETTINGS = {
     "Azs": [f"z{zone}" for zone in range(ZONE_COUNT)],
@@ -50,11 +50,11 @@
     "Discovery": "pushed",
     "NInstances": 10_000,
 }
-"""Settings as in a real deployment, in the names and units of the settings' JSON."""
+"""Settings like those of a real deployment, with the names and units of the settings document."""
 
 
 class SidecarProcess:
-    """A sidecar that starts with an empty endpoint list, as an asynchronous context manager."""
+    """An asynchronous context manager that runs a sidecar, which starts with an empty endpoint list."""
 
     def __init__(self, discovery_port: int) -> None:
         self._discovery_port = discovery_port
@@ -163,7 +163,7 @@
 
 def _free_port() -> int:
     """Return a port that was free a moment ago; a sidecar cannot report which port it got for port 0."""
-    with socket.socket() as probe:
-        probe.bind(("127.0.0.1", 0))
-        port: int = probe.getsockname()[1]
+    with socket.socket() as bound_socket:
+        bound_socket.bind(("127.0.0.1", 0))
+        port: int = bound_socket.getsockname()[1]
         return port
--- a/benchmarks/topology.py
+++ b/benchmarks/topology.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 ZONE_COUNT = 19
-"""Number of zones. Endpoints take them in turn, so that every zone has nearly as many."""
+"""Number of zones. Endpoints are assigned to them in turn, so that all zones have nearly equal numbers."""
 
 CELL_COUNT = 500
-"""Number of cells, which are the scopes of deduplication. Endpoints take them in turn as well."""
+"""Number of cells, each a scope of deduplication. Endpoints are assigned to them in turn as well."""
--- a/deploy/example/account_server.py
+++ b/deploy/example/account_server.py
@@ -1,4 +1,4 @@
-"""A stand-in for an account server, for the example only: answers every request with its own port."""
+"""A stand-in for an account server, for the example only. It answers every request with its own port."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
     protocol_version = "HTTP/1.1"
 
     def do_GET(self) -> None:
-        """Answer a request, or a health check, with the address of this server."""
+        """Answer a request or a health check with the port of this server."""
         port = self.connection.getsockname()[1]
         body = f"served by {port}\n".encode()
         self.send_response(200)
--- a/tests/benchmarks/runner.py
+++ b/tests/benchmarks/runner.py
@@ -1,4 +1,4 @@
-"""Run asynchronous tests on the event loop of the standard library, which the benchmarks use."""
+"""Runs asynchronous tests on the event loop of the standard library, which the benchmarks use."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from benchmarks.discovery_stand_in import DiscoveryStandIn
 
 TEST_TIMEOUT_SECONDS = 20.0
-"""A test that hangs fails after this time; no test passes or fails because of a shorter one."""
+"""Time after which a hanging test fails. No test passes or fails because of a shorter time."""
 
 ENDPOINT_COUNT = 3
 """Length of the endpoint list of the discovery agent."""
--- a/tests/benchmarks/test_control_cost.py
+++ b/tests/benchmarks/test_control_cost.py
@@ -1,4 +1,4 @@
-"""Tests of the form in which the benchmark of discovery reports its results."""
+"""Tests of the text and JSON output of the benchmark of discovery."""
 
 from __future__ import annotations
 
--- a/tests/benchmarks/test_discovery_stand_in.py
+++ b/tests/benchmarks/test_discovery_stand_in.py
@@ -13,7 +13,7 @@
 from tests.benchmarks.runner import ENDPOINT_COUNT, run, run_with_discovery
 
 LONG_POLL_TIMEOUT_MS = 60_000
-"""Longer than any test may take."""
+"""Timeout of a long poll that is longer than any test may take."""
 
 
 class AgentClient:
--- a/tests/benchmarks/test_membership_cost.py
+++ b/tests/benchmarks/test_membership_cost.py
@@ -1,4 +1,4 @@
-"""Tests of the form in which the benchmark of the endpoint list reports its results."""
+"""Tests of the text and JSON output of the benchmark of the endpoint list."""
 
 from __future__ import annotations
 
--- a/tests/benchmarks/test_sidecar_process.py
+++ b/tests/benchmarks/test_sidecar_process.py
@@ -1,4 +1,4 @@
-"""Tests of the sidecar that a benchmark runs as a process of its own."""
+"""Tests of the sidecar that a benchmark runs as a separate process."""
 
 from __future__ import annotations
 
--- a/tests/sidecar/client.py
+++ b/tests/sidecar/client.py
@@ -17,7 +17,7 @@
 
     @property
     def status_and_body(self) -> tuple[int, bytes]:
-        """The parts that most tests compare."""
+        """The status and the body, which most tests compare."""
         return self.status, self.body
 
 
@@ -41,7 +41,7 @@
         return ClientResponse(int(status_line.split()[1]), headers, body)
 
     async def is_closed_without_data(self) -> bool:
-        """Wait for the sidecar to close the connection. Returns whether it sent nothing before that."""
+        """Wait until the sidecar closes the connection. Returns whether no unread data came before that."""
         try:
             return await self.reader.read() == b""
         except ConnectionError:
--- a/tests/sidecar/configuration_documents.py
+++ b/tests/sidecar/configuration_documents.py
@@ -5,7 +5,7 @@
 import socket
 from typing import Any
 
-SETTINGS: dict[str, Any] = {  # the units and names are those of the settings' JSON
+SETTINGS: dict[str, Any] = {  # names and units are those of the settings document
     "Azs": ["bangna"],
     "Kinds": ["new-4c"],
     "Categories": [
@@ -42,10 +42,10 @@
 _bound_socket.bind(("127.0.0.1", 0))
 
 UNREACHABLE_DISCOVERY = f"127.0.0.1:{_bound_socket.getsockname()[1]}"
-"""An address where nothing ever listens: the port stays bound for as long as the tests run.
+"""An address where nothing ever listens, because its port stays bound for as long as the tests run.
 
-A port that is free for anybody may be taken by a stand-in endpoint, of another process too, which would then
-get the calls to discovery.
+A free port could be taken by a stand-in for an account server, also by one of another process, which would
+then receive the calls to discovery.
 """
 
 
--- a/tests/sidecar/event_loop.py
+++ b/tests/sidecar/event_loop.py
@@ -1,4 +1,4 @@
-"""Run asynchronous tests on the event loop that the program uses."""
+"""Runs asynchronous tests on the event loop that the sidecar uses."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 
 
 TEST_TIMEOUT_SECONDS = 20.0
-"""A test that hangs fails after this time. No test passes or fails because of a shorter one."""
+"""Time after which a hanging test fails. No test passes or fails because of a shorter time."""
 
 
 def run(test: Coroutine[Any, Any, None]) -> None:
-    """Run a test on the event loop that the program uses; raises TimeoutError if it hangs."""
+    """Run a test on the event loop that the sidecar uses; raises TimeoutError if it hangs."""
 
     async def run_with_timeout() -> None:
         await asyncio.wait_for(test, TEST_TIMEOUT_SECONDS)
--- a/tests/sidecar/manual_time.py
+++ b/tests/sidecar/manual_time.py
@@ -1,4 +1,4 @@
-"""Time that passes only when a test advances it: a clock, and an event loop whose timers follow it."""
+"""A clock that only a test advances, and an event loop whose timers use that clock."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from balancer.time_units import SECOND_NS
 
 START_NS = 1_000_000 * SECOND_NS
-"""Where the clock starts: as on a machine that has run for some days."""
+"""The first reading of the clock: that of a machine that has run for some days."""
 
 
 class ManualTimer:
@@ -39,7 +39,8 @@
     def __init__(self) -> None:
         super().__init__()
         self._now_ns = START_NS
-        self._sequence = itertools.count()  # timers that are due at one time fire in the order of their start
+        # Timers that are due at the same time fire in the order in which they were started.
+        self._sequence = itertools.count()
         self._timers: list[tuple[int, int, ManualTimer]] = []
 
     def now_ns(self) -> int:
@@ -56,7 +57,7 @@
         return timer
 
     def advance(self, duration_ns: int) -> None:
-        """Advance the clock. A timer that becomes due meanwhile is fired at the time at which it is due."""
+        """Advance the clock. A timer that becomes due is fired at the time at which it is due."""
         end_ns = self._now_ns + duration_ns
         while self._timers and self._timers[0][0] <= end_ns:
             due_ns, _, timer = heapq.heappop(self._timers)
@@ -66,7 +67,7 @@
 
 
 class _ManualTimeLoop:
-    """The running event loop with the timers of a `ManualTime`."""
+    """The running event loop, except that its timers are those of a `ManualTime`."""
 
     def __init__(self, manual_time: ManualTime) -> None:
         self._loop = asyncio.get_running_loop()
--- a/tests/sidecar/messages.py
+++ b/tests/sidecar/messages.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 messages for the tests, in the bytes of the wire."""
+"""HTTP/1.1 messages for the tests, as bytes."""
 
 from __future__ import annotations
 
--- a/tests/sidecar/process_harness.py
+++ b/tests/sidecar/process_harness.py
@@ -1,4 +1,4 @@
-"""Run the sidecar as a process of its own, and wait for changes of its state."""
+"""Runs the sidecar as a separate process, and waits for changes of its state."""
 
 from __future__ import annotations
 
@@ -19,17 +19,17 @@
 """The command line of the sidecar."""
 REPOSITORY_ROOT = Path(__file__).parent.parent.parent
 POLL_INTERVAL_SECONDS = 0.01
-"""Pause between two attempts: short beside the start of a process, which takes some tenths of a second."""
+"""Pause between two calls; short compared with a process start, which takes some tenths of a second."""
 
 Result = TypeVar("Result")
 
 
 async def retry_until_result(
-    attempt: Callable[[], Awaitable[Result | None]], interval_seconds: float = POLL_INTERVAL_SECONDS
+    operation: Callable[[], Awaitable[Result | None]], interval_seconds: float = POLL_INTERVAL_SECONDS
 ) -> Result:
-    """Repeat an attempt until it returns something other than None, and return its result."""
+    """Call an operation until it returns something other than None, and return that result."""
     while True:
-        result = await attempt()
+        result = await operation()
         if result is not None:
             return result
         await asyncio.sleep(interval_seconds)
@@ -49,7 +49,7 @@
         self.listen_address = unreachable_address()
 
     def write(self, *endpoint_addresses: str, **overrides: Any) -> None:
-        """Write a configuration with the endpoints at these addresses; `overrides` override its keys."""
+        """Write a configuration with endpoints at these addresses; `overrides` replace top-level keys."""
         document = configuration(*endpoint_addresses, listen=self.listen_address, **overrides)
         self.write_text(json.dumps(document))
 
--- a/tests/sidecar/scripted_endpoint.py
+++ b/tests/sidecar/scripted_endpoint.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 servers on loopback that answer each request by a script."""
+"""Stand-ins for account servers: HTTP/1.1 servers on loopback that answer each request by a script."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from tests.sidecar.messages import ok_response, parse_headers
 
 Script: TypeAlias = Callable[["ReceivedRequest"], Awaitable[bytes | None]]
-"""Return the bytes of the response to a request, or None to close the connection without a response."""
+"""A function that returns the bytes of the response, or None to close the connection without a response."""
 
 
 class ReceivedRequest:
@@ -26,7 +26,7 @@
 
 
 class ScriptedEndpoint:
-    """An HTTP server that answers each request by its script."""
+    """A stand-in for an account server, which answers each request by its script."""
 
     def __init__(self, script: Script) -> None:
         self.script = script
@@ -49,17 +49,17 @@
     async def _serve_request(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> bool:
         """Answer one request. Returns whether the connection stays open."""
         request = await self._read_request(reader)
-        answering = asyncio.ensure_future(self.script(request))
-        # The sidecar sends nothing before it has the response, so a read ends only with the connection.
-        closing = asyncio.ensure_future(reader.read(1))
-        await asyncio.wait((answering, closing), return_when=asyncio.FIRST_COMPLETED)
-        if not answering.done():
+        response_task = asyncio.ensure_future(self.script(request))
+        # The sidecar sends nothing before it has the response, so the read ends only with the connection.
+        close_task = asyncio.ensure_future(reader.read(1))
+        await asyncio.wait((response_task, close_task), return_when=asyncio.FIRST_COMPLETED)
+        if not response_task.done():
             request.connection_closed.set()
-            answering.cancel()
+            response_task.cancel()
             return False
-        closing.cancel()
-        await asyncio.wait((closing,))
-        response = answering.result()
+        close_task.cancel()
+        await asyncio.wait((close_task,))
+        response = response_task.result()
         if response is None:
             return False
         writer.write(response)
@@ -111,6 +111,6 @@
 
     Its port was free a moment ago, and the system does not give it out again at once.
     """
-    with socket.socket() as bound:
-        bound.bind(("127.0.0.1", 0))
-        return f"127.0.0.1:{bound.getsockname()[1]}"
+    with socket.socket() as bound_socket:
+        bound_socket.bind(("127.0.0.1", 0))
+        return f"127.0.0.1:{bound_socket.getsockname()[1]}"
--- a/tests/sidecar/sidecar_under_test.py
+++ b/tests/sidecar/sidecar_under_test.py
@@ -1,4 +1,4 @@
-"""Run a complete sidecar in the event loop of the test."""
+"""Runs a complete sidecar in the event loop of the test."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 class _ObservedConnection(DownstreamConnection):
-    """A client connection that makes its transport known to the test."""
+    """A client connection whose transport the test can access."""
 
     def __init__(self, listener: Listener, transports: list[asyncio.Transport]) -> None:
         super().__init__(listener)
@@ -53,7 +53,7 @@
     async def start(
         self, clock: Clock | None = None, dispatcher_loop: asyncio.AbstractEventLoop | None = None
     ) -> None:
-        """Start to listen on a free port of 127.0.0.1.
+        """Start listening on a free port of 127.0.0.1.
 
         Args:
             clock: The clock of the dispatcher; the real one by default.
@@ -70,13 +70,13 @@
         self.port = self.server.sockets[0].getsockname()[1]
 
     def handle(self, now_ns: int, event: Event) -> list[Action]:
-        """Record an event and pass it to the balancer, in the place of the policy."""
+        """Record an event and pass it to the balancer. The dispatcher uses this object as its policy."""
         self.events.append(event)
         self.event_recorded.set()
         return self.balancer.handle(now_ns, event)
 
     async def wait_for_event(self, is_wanted: Callable[[Any], bool]) -> Any:
-        """Return the first event that matches, of those recorded so far and later."""
+        """Return the first matching event; wait for it if none has been recorded so far."""
         while True:
             for event in self.events:
                 if is_wanted(event):
@@ -104,7 +104,7 @@
     timeouts: DownstreamTimeouts = DEFAULT_TIMEOUTS,
     **overrides: Any,
 ) -> AsyncIterator[Sidecar]:
-    """Run a sidecar that knows the endpoints at these addresses; `overrides` override its configuration."""
+    """Run a sidecar with cached endpoints at these addresses; `overrides` replace keys of the document."""
     sidecar = Sidecar(configuration(*addresses, **overrides), timeouts)
     await sidecar.start(clock, dispatcher_loop)
     try:
--- a/tests/sidecar/test_load_balancing_over_sockets.py
+++ b/tests/sidecar/test_load_balancing_over_sockets.py
@@ -1,4 +1,4 @@
-"""Tests of how requests are spread over endpoints, over loopback sockets."""
+"""Tests of the distribution of requests to endpoints, over loopback sockets."""
 
 from __future__ import annotations
 
--- a/tests/sidecar/test_overload_over_sockets.py
+++ b/tests/sidecar/test_overload_over_sockets.py
@@ -21,11 +21,11 @@
 from tests.sidecar.sidecar_under_test import Sidecar, run_sidecar
 
 CONTROL_CYCLE_TIMER = TimerFired(0)
-"""The event that ends a cycle of overload detection."""
+"""The event that ends a control cycle."""
 
 
 class PendingExchanges:
-    """Clients whose requests are held by endpoints, each on a connection of its own."""
+    """Requests of one class that are pending at endpoints, each on a client connection of its own."""
 
     def __init__(self, sidecar: Sidecar, pending: PendingRequests, class_name: str) -> None:
         self._sidecar = sidecar
@@ -34,14 +34,14 @@
         self._exchanges: set[asyncio.Task[ClientResponse]] = set()
 
     async def send(self) -> None:
-        """Send a request, and wait until an endpoint holds it."""
+        """Send a request, and wait until an endpoint has received it."""
         client = await self._sidecar.connect_client()
         exchange = client.exchange(request_bytes(self._class_name))
         self._exchanges.add(asyncio.create_task(exchange))
         await self._pending.arrivals.get()
 
     async def answer_oldest(self, name: str) -> None:
-        """Let an endpoint answer its oldest request, and check that the client gets the response."""
+        """Let an endpoint answer its oldest pending request, and check that the client gets the response."""
         self._pending.answer_oldest(name)
         [answered], _ = await asyncio.wait(self._exchanges, return_when=asyncio.FIRST_COMPLETED)
         self._exchanges.remove(answered)
@@ -50,10 +50,10 @@
 
 @async_test
 async def test_warming_endpoint_gets_its_share_of_requests_in_flight() -> None:
-    """A limit of one request would leave endpoints idle that are warming up, beside others that are full."""
+    """A limit of one request would leave warming endpoints nearly idle while the others are at capacity."""
     pending = PendingRequests()
     names = ("warm-1", "warm-2", "warming")
-    # The slow start is so long that the allowance does not grow while the test runs.
+    # The slow start is so long that the capacity of the warming endpoint does not grow during the test.
     slow_start = {"ColdFrom": 0.31, "ColdNs": 60_000_000_000}
     async with run_endpoints(*map(pending.script, names)) as endpoints:
         entries = [
@@ -65,9 +65,8 @@
             clients = PendingExchanges(sidecar, pending, "read")
             for _ in range(40):
                 await clients.send()
-            assert (
-                pending.counts["warming"] == 0
-            )  # only responses of warm endpoints add tokens for warming ones
+            # Only responses of warm endpoints add tokens for attempts at warming endpoints.
+            assert pending.counts["warming"] == 0
             for _ in range(80):
                 await clients.answer_oldest(max(names[:2], key=lambda name: pending.counts[name]))
                 await clients.send()
@@ -76,7 +75,10 @@
 
 
 def hang_on_reads(pending: PendingRequests, hung_reads: asyncio.Queue[ReceivedRequest]) -> Script:
-    """Return the script of the endpoint "hanging", which holds posts and never answers reads."""
+    """Return the script of the endpoint "hanging".
+
+    It answers posts when the test releases them, and never answers reads.
+    """
     wait_for_release = pending.script("hanging")
 
     async def script(request: ReceivedRequest) -> bytes | None:
@@ -89,7 +91,10 @@
 
 
 def serve_reads(pending: PendingRequests) -> Script:
-    """Return the script of the endpoint "healthy", which holds posts and answers reads at once."""
+    """Return the script of the endpoint "healthy".
+
+    It answers posts when the test releases them, and reads at once.
+    """
     wait_for_release = pending.script("healthy")
 
     async def script(request: ReceivedRequest) -> bytes | None:
@@ -108,7 +113,7 @@
 
 @async_test
 async def test_class_whose_requests_hang_is_sent_elsewhere_and_other_classes_are_not() -> None:
-    """Hanging requests of one class are neither overload nor a fault of the endpoint for other classes."""
+    """Hanging requests of one class must not count as overload or as failures of the other classes."""
     pending = PendingRequests()
     hung_reads = asyncio.Queue[ReceivedRequest]()
     settings = settings_with_overrides({"AimNs": 200_000_000})
@@ -119,7 +124,7 @@
         posts = PendingExchanges(sidecar, pending, "post")
         for _ in range(12):
             await posts.send()
-        # The endpoint that has just answered holds the fewest requests, so the next request goes there.
+        # The endpoint that has just answered has the fewest requests in flight, so it gets the next request.
         for _ in range(3):
             await posts.answer_oldest("healthy")
             await check_read_is_answered(sidecar)
@@ -145,15 +150,15 @@
 
 
 class HangingReads:
-    """Endpoints at which reads hang while posts are answered, in time that the test advances.
+    """Endpoints at which reads hang while posts are answered; the clock is advanced by the test.
 
-    Until `has_recovered` is set, every read hangs; after that only the first one does.
+    Until `has_recovered` is set, every read hangs. After that a read hangs only if `hung_reads` is empty.
     """
 
     RESPONSE_TIME_NS = 10 * MILLISECOND_NS
     """How long an endpoint takes to answer a post."""
     POST_COUNT = 4
-    """Number of posts sent at once: enough for each endpoint to get one, however the reads are split."""
+    """Number of posts sent at once: enough for each endpoint to get one, however reads are distributed."""
     PAUSE_NS = 15 * MILLISECOND_NS
     """Time between the responses and the next posts: longer than the reuse delay of their connections."""
 
@@ -173,8 +178,8 @@
             if not self.has_recovered or not self.hung_reads:
                 self.hung_reads.append(request)
                 return await never_answer(request)
-            # There are never two attempts at once, so the earlier one has ended. Its end and this request
-            # arrive on two sockets, of which the event loop may read either one first.
+            # The sidecar makes one attempt at a time, so the earlier attempt has ended. The close of its
+            # connection and this request arrive on two sockets, and the event loop may read either one first.
             await self.hung_reads[-1].connection_closed.wait()
             return ok_response(b"again")
 
@@ -183,7 +188,7 @@
     async def serve_posts_until(
         self, is_over: Callable[[], object], sidecar: Sidecar, clients: list[Client]
     ) -> None:
-        """Have posts answered that were sent after the hanging reads, while time passes."""
+        """Send and answer posts that overtake the hanging reads, and advance the clock, until `is_over`."""
         while not is_over():
             exchanges = asyncio.gather(*(client.exchange(request_bytes("post")) for client in clients))
             names = [await self._pending.arrivals.get() for _ in clients]
@@ -216,7 +221,7 @@
 
 @async_test
 async def test_hung_attempt_is_cancelled_and_its_retry_is_answered(monkeypatch: pytest.MonkeyPatch) -> None:
-    """If it waited for its deadline instead, each request that hangs at one endpoint would be rejected."""
+    """If a hung attempt ran until its deadline, each request that hangs at one endpoint would be rejected."""
     manual_time = ManualTime()
     reads = HangingReads(manual_time)
     limits = SETTINGS["Limits"] | {"Cancel": True}
@@ -232,7 +237,7 @@
         clients = [await sidecar.connect_client() for _ in range(16)]
         posting_clients = [await sidecar.connect_client() for _ in range(reads.POST_COUNT)]
 
-        # Requests that take long look like hung ones at first: some have to fail.
+        # Requests that take long look like hung ones at first: some have to fail before one is cancelled.
         first_exchange = await send_reads(clients[:1], sidecar, deadline="1.2")
         await reads.serve_posts_until(first_exchange.done, sidecar, posting_clients)
         [response] = first_exchange.result()
@@ -245,7 +250,7 @@
 
         reads.hung_reads.clear()
         reads.has_recovered = True
-        # One in ten is never cancelled, so that the policy learns how such attempts end: not this one.
+        # The policy lets one in ten hung attempts go on, to learn how they end, but it cancels this one.
         monkeypatch.setattr(sidecar.balancer.random, "random", lambda: 0.5)
         event_count = len(sidecar.events)
         last_exchange = await send_reads(clients[:1], sidecar, deadline="9")
--- a/tests/sidecar/waiting.py
+++ b/tests/sidecar/waiting.py
@@ -1,4 +1,4 @@
-"""Wait in asynchronous tests without polling and without real time."""
+"""Waiting in asynchronous tests that needs neither polling nor real time."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
     Args:
         condition: What to wait for.
-        changed: Set whenever the condition may have begun to hold. Only one waiter may use it at a time.
+        changed: Set whenever the condition may have become true. Only one waiter may use it at a time.
     """
     while not condition():
         changed.clear()
--- a/tests/simulator/test_action_encoder.py
+++ b/tests/simulator/test_action_encoder.py
@@ -1,4 +1,4 @@
-"""Test of the action encoder with a reply written by hand from the simulator's manual."""
+"""Test of the action encoder against a reply written by hand according to the simulator's manual."""
 
 from __future__ import annotations
 
--- a/tests/simulator/test_adapter.py
+++ b/tests/simulator/test_adapter.py
@@ -16,7 +16,7 @@
 
 RANDOM_SEED = 7
 
-# Values of the simulator's manual, written as numbers so that the tests do not follow a change of the code.
+# Values from the simulator's manual. They are literals, so that the tests notice a change of the constants.
 BATCH_HEADER_BYTES = 16
 REPLY_HEADER_BYTES = 8
 INSTANCE_STARTED_CODE = 0x1A
--- a/tests/simulator/test_event_decoder.py
+++ b/tests/simulator/test_event_decoder.py
@@ -1,4 +1,4 @@
-"""Tests of the event decoder with records written by hand from the simulator's manual."""
+"""Tests of the event decoder with records written by hand according to the simulator's manual."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 from tests.simulator.wire_samples import SAMPLE_BATCH, request_id
 
 BATCH_HEADER_BYTES = 16
-"""Length of the header by the simulator's manual."""
+"""Length of the header of a batch according to the simulator's manual."""
 
 LIST_AND_UPDATE = bytes.fromhex(
     "10 0000 02000000"
@@ -80,12 +80,12 @@
     [
         ("63 0300", 1, "unknown record code 99"),
         ("14 0300 4d00", 1, "truncated"),
-        ("14 0300 4d00000000000000", 2, "a record is missing"),
+        ("14 0300 4d00000000000000", 2, "fewer records than its header announces"),
         ("14 0300 4d00000000000000 00", 1, "left after"),
-        ("16 0300 02000000 0400 6869", 1, "past its end"),
-        ("17 0300 02 0700 2900000000000000", 1, "never defined"),
-        ("17 0300 09 0000 2900000000000000", 1, "list kind 9"),
-        ("10 0000 ffffff00 0000", 1, "truncated pool"),
+        ("16 0300 02000000 0400 6869", 1, "past the end of the frame"),
+        ("17 0300 02 0700 2900000000000000", 1, "endpoint list 7 is not defined"),
+        ("17 0300 09 0000 2900000000000000", 1, "endpoint update kind 9"),
+        ("10 0000 ffffff00 0000", 1, "truncated endpoint list"),
         ("11 0300 0a9011f2b413 6300 c05c150000000000 00", 1, "outcome code 99"),
     ],
 )
--- a/tests/simulator/wire_samples.py
+++ b/tests/simulator/wire_samples.py
@@ -1,4 +1,4 @@
-"""Frames written by hand from the simulator's manual."""
+"""Frames written by hand according to the simulator's manual."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
     "14 0300 4d00000000000000"
     "19 0500 192b6f0e625f0b00"
 )
-"""A batch with a request, a timer and the disconnect of a client, for two instances."""
+"""A batch with a request, a timer and the disconnection of a client, for two instances."""
 
 SAMPLE_REPLY = bytes.fromhex(
     "03000000 4a000000"
