--- a/tests/sidecar/discovery/test_discovery_over_sockets.py
+++ b/tests/sidecar/discovery/test_discovery_over_sockets.py
@@ -14,7 +14,7 @@
 from balancer.policy_api import EndpointHealth, EndpointUpdate, EndpointUpdateKind, Event
 from balancer.sidecar.discovery.endpoint_list import NameIndices, derive_endpoint_id, parse_endpoint_list
 from balancer.sidecar.runtime.address import Address
-from tests.sidecar.configuration_documents import settings_with_overrides, endpoint_entry, endpoint_list
+from tests.sidecar.configuration_documents import endpoint_entry, endpoint_list, settings_with_overrides
 from tests.sidecar.event_loop import TEST_TIMEOUT_SECONDS, async_test, wait_until
 from tests.sidecar.messages import ok_response, status_response
 from tests.sidecar.scripted_endpoint import (
--- a/tests/sidecar/test_overload_over_sockets.py
+++ b/tests/sidecar/test_overload_over_sockets.py
@@ -12,7 +12,12 @@
 from balancer.sidecar.upstream.attempt import AttemptState
 from balancer.time_units import MILLISECOND_NS
 from tests.sidecar.client import Client, ClientResponse
-from tests.sidecar.configuration_documents import SETTINGS, settings_with_overrides, endpoint_entry, endpoint_list
+from tests.sidecar.configuration_documents import (
+    SETTINGS,
+    endpoint_entry,
+    endpoint_list,
+    settings_with_overrides,
+)
 from tests.sidecar.event_loop import async_test, wait_until
 from tests.sidecar.manual_time import ManualTime, event_loop_with_timers_of
 from tests.sidecar.messages import ok_response, request_bytes
