--- a/balancer/sidecar/requests/ledger.py
+++ b/balancer/sidecar/requests/request_registry.py
@@ -1,4 +1,4 @@
-"""The requests in flight, and the ids of requests that a client may not send again."""
+"""The requests in flight, and the ids of executed requests that a client must not send again."""
 
 from __future__ import annotations
 
@@ -11,15 +11,16 @@
 from balancer.sidecar.runtime.timers import OneShotTimer
 
 
-class RequestLedger:
-    """Keeps each request until it is finished, and detects duplicates of requests.
+class RequestRegistry:
+    """Stores each request until it is finished, and detects duplicate requests.
 
-    A client whose answer is lost with its connection may send its request again under the same id. While the
-    first is in flight, or if it may have been executed and is not idempotent, the second must not be sent to
-    an endpoint. Ids are remembered until the client of any request must have given up.
+    A client that loses its connection before the response arrives may retry the request under the same id.
+    The retry must not be sent to an endpoint while the first request is in flight, nor if the first one may
+    have been executed and is not idempotent. The registry stores the ids of executed requests for the longest
+    client timeout of any class, as every client has given up by then.
 
     Args:
-        settings: The settings of the instance.
+        settings: The settings of the sidecar.
         loop: The event loop of the requests' timers.
         now_ns: The sidecar's clock.
     """
@@ -38,12 +39,12 @@
         self.in_flight: dict[int, InFlightRequest] = {}
         """Every request that is not finished, by its request id."""
         self.executed_ids_expire_at_ns: dict[bytes, int] = {}
-        """Client request ids that may have been executed and must not be again, oldest first."""
+        """The ids of requests that must not be executed again, and when each expires; oldest first."""
 
     def add(
         self, response_sink: ResponseSink, client_request: ClientRequest, expires_at_ns: int
     ) -> InFlightRequest:
-        """Enter a request under the next request id."""
+        """Add a request under the next request id."""
         self._last_request_id += 1
         request = InFlightRequest(
             self._last_request_id,
@@ -62,15 +63,18 @@
         return self._classes[request.client_request.class_index]
 
     def mark_answered(self, request_id: int) -> InFlightRequest | None:
-        """Return the request if it is still owed its final answer, which the caller gives now; else None."""
+        """Mark a request as answered and return it; None if no response is pending.
+
+        The caller then sends the final response, or reports that the client has disconnected.
+        """
         request = self.in_flight.get(request_id)
         if request is None or request.answered:
             return None
         request.answered = True
         return request
 
-    def forget_if_finished(self, request: InFlightRequest) -> None:
-        """Drop the request if it is finished, and remember its id where a repeat would do harm."""
+    def remove_if_finished(self, request: InFlightRequest) -> None:
+        """Remove a finished request, and store its id if the client must not retry it."""
         if not request.is_finished:
             return
         request.deadline_timer.cancel()
@@ -84,13 +88,13 @@
 
     def is_duplicate(self, client_request_id: bytes) -> bool:
         """Return whether a request with this id is in flight or must not be executed again."""
-        self._forget_expired_ids(self._now_ns())
+        self._remove_expired_ids(self._now_ns())
         return (
             client_request_id in self._client_ids_in_flight
             or client_request_id in self.executed_ids_expire_at_ns
         )
 
-    def _forget_expired_ids(self, now_ns: int) -> None:
+    def _remove_expired_ids(self, now_ns: int) -> None:
         while self.executed_ids_expire_at_ns:
             oldest_id, expires_at_ns = next(iter(self.executed_ids_expire_at_ns.items()))
             if expires_at_ns > now_ns:
