--- a/tests/sidecar/upstream/test_attempt_connecting.py
+++ b/tests/sidecar/upstream/test_attempt_connecting.py
@@ -246,7 +246,9 @@
     async with (
         run_endpoint(close_first_connection) as first,
         run_endpoint(close_first_connection) as second,
-        run_sidecar(first.address, second.address, settings=settings_with_overrides({}, DEDUPLICATED)) as sidecar,
+        run_sidecar(
+            first.address, second.address, settings=settings_with_overrides({}, DEDUPLICATED)
+        ) as sidecar,
     ):
         gate = ConnectGate(sidecar, blocks_after_connect=False)
         now_ns = sidecar.dispatcher.clock.monotonic_ns
