--- a/tests/sidecar/downstream/test_requests_over_sockets.py
+++ b/tests/sidecar/downstream/test_requests_over_sockets.py
@@ -1,4 +1,4 @@
-"""Tests of the client's side over loopback sockets: forwarding, pipelining, clients that leave."""
+"""Tests of the downstream side over loopback sockets: forwarding, pipelining, clients that disconnect."""
 
 from __future__ import annotations
 
@@ -34,13 +34,13 @@
 
 @async_test
 async def test_split_and_pipelined_requests_are_answered_in_order() -> None:
-    first_may_end = asyncio.Event()
+    first_response_released = asyncio.Event()
 
     async def script(request: ReceivedRequest) -> bytes:
         if request.headers.get(b"req-extra") == b"n=0":
-            await first_may_end.wait()
+            await first_response_released.wait()
         else:
-            first_may_end.set()
+            first_response_released.set()
         return ok_response(b"answer " + request.headers[b"req-extra"][2:])
 
     async with run_endpoint(script) as endpoint, run_sidecar(endpoint.address) as sidecar:
@@ -58,20 +58,20 @@
 
 @async_test
 async def test_draining_sidecar_answers_pipelined_requests_before_it_closes() -> None:
-    may_answer = asyncio.Event()
+    responses_released = asyncio.Event()
 
-    async def answer_later(request: ReceivedRequest) -> bytes:
-        await may_answer.wait()
+    async def respond_when_released(request: ReceivedRequest) -> bytes:
+        await responses_released.wait()
         return ok_response(b"answer " + request.headers[b"req-extra"][2:])
 
-    async with run_endpoint(answer_later) as endpoint, run_sidecar(endpoint.address) as sidecar:
+    async with run_endpoint(respond_when_released) as endpoint, run_sidecar(endpoint.address) as sidecar:
         client = await sidecar.connect_client()
         client.writer.write(
             b"".join(request_bytes(extra_headers=b"Req-Extra: n=%d\r\n" % number) for number in range(3))
         )
         await wait_until(lambda: len(endpoint.received_requests) >= 3)
         sidecar.listener.is_draining = True
-        may_answer.set()
+        responses_released.set()
         responses = [await client.read_response() for _ in range(3)]
         assert [response.body for response in responses] == [b"answer 0", b"answer 1", b"answer 2"]
         assert [b"connection" in response.headers for response in responses] == [False, False, True]
@@ -91,25 +91,29 @@
         assert (await client.exchange(request)).status == 200
 
 
-@pytest.mark.parametrize("ending", ["last", "pipelined", "flooded"])
+@pytest.mark.parametrize("connection_state", ["last", "pipelined", "flooded"])
 @async_test
-async def test_client_disconnect_is_detected_while_reading_is_paused(ending: str) -> None:
-    """Reading pauses after the last request and with a full pipeline; the requests must not be sent then."""
+async def test_client_disconnect_is_detected_while_reading_is_paused(connection_state: str) -> None:
+    """The requests of the client must be abandoned without being sent.
+
+    With a full pipeline, or a flood after the last request, reading is paused and no event reports the
+    disconnect.
+    """
     async with run_endpoint(answer_ok) as endpoint, run_sidecar(endpoint.address) as sidecar:
         gate = ConnectGate(sidecar, blocks_after_connect=False)
         client = await sidecar.connect_client()
-        if ending == "pipelined":
+        if connection_state == "pipelined":
             request_count = MAX_PIPELINED_REQUESTS
             client.writer.write(b"".join(request_bytes() for _ in range(request_count + 3)))
         else:
             request_count = 1
             client.writer.write(request_bytes(extra_headers=b"Connection: close\r\n"))
         await wait_until(lambda: gate.connect_count >= request_count)
-        if ending == "flooded":
+        if connection_state == "flooded":
             client.writer.write(b"x" * 200_000)
         [transport] = sidecar.client_transports
-        await wait_until(lambda: transport.is_reading() == (ending == "last"))
-        if ending == "flooded":
+        await wait_until(lambda: transport.is_reading() == (connection_state == "last"))
+        if connection_state == "flooded":
             client.writer.transport.abort()
         else:
             client.writer.close()
