--- a/tests/sidecar/downstream/test_connection_timeouts.py
+++ b/tests/sidecar/downstream/test_connection_timeouts.py
@@ -27,8 +27,8 @@
         partial_body.writer.write(request_bytes("post", body=b"x" * 100)[:-1])
         for client in (partial_head, partial_body):
             assert (await client.read_response())[0] == 408
-            assert await client.is_closed()
-        assert await client_without_request.is_closed()
+            assert await client.is_closed_without_data()
+        assert await client_without_request.is_closed_without_data()
         # This connection has waited for longer than the one without a request, but its limit is longer.
         assert (await idle.exchange(request_bytes()))[0] == 200
 
