--- a/tests/sidecar/test_overload_over_sockets.py
+++ b/tests/sidecar/test_overload_over_sockets.py
@@ -12,87 +12,99 @@
 from balancer.sidecar.upstream.attempt import AttemptState
 from balancer.time_units import MILLISECOND_NS
 from tests.sidecar.client import Client, ClientResponse
-from tests.sidecar.configuration_documents import SETTINGS, change_classes, endpoint_entry, endpoint_list
+from tests.sidecar.configuration_documents import (
+    SETTINGS,
+    endpoint_entry,
+    endpoint_list,
+    settings_with_overrides,
+)
 from tests.sidecar.event_loop import async_test, wait_until
-from tests.sidecar.held_requests import HeldRequests
 from tests.sidecar.manual_time import ManualTime, event_loop_with_timers_of
 from tests.sidecar.messages import ok_response, request_bytes
+from tests.sidecar.pending_requests import PendingRequests
 from tests.sidecar.scripted_endpoint import ReceivedRequest, Script, never_answer, run_endpoints
 from tests.sidecar.sidecar_under_test import Sidecar, run_sidecar
 
-CYCLE_TIMER = TimerFired(0)
-"""The event that ends a cycle of overload detection."""
+CONTROL_CYCLE_TIMER = TimerFired(0)
+"""The event that ends a control cycle."""
 
 
-class HeldClients:
-    """Clients whose requests are held by endpoints, each on a connection of its own."""
+class PendingExchanges:
+    """Requests of one class that are pending at endpoints, each on a client connection of its own."""
 
-    def __init__(self, sidecar: Sidecar, held: HeldRequests, class_name: str) -> None:
+    def __init__(self, sidecar: Sidecar, pending: PendingRequests, class_name: str) -> None:
         self._sidecar = sidecar
-        self._held = held
+        self._pending = pending
         self._class_name = class_name
         self._exchanges: set[asyncio.Task[ClientResponse]] = set()
 
     async def send(self) -> None:
-        """Send a request, and wait until an endpoint holds it."""
+        """Send a request, and wait until an endpoint has received it."""
         client = await self._sidecar.connect_client()
         exchange = client.exchange(request_bytes(self._class_name))
         self._exchanges.add(asyncio.create_task(exchange))
-        await self._held.arrivals.get()
+        await self._pending.arrivals.get()
 
     async def answer_oldest(self, name: str) -> None:
-        """Let an endpoint answer its oldest request, and check that the client gets the response."""
-        self._held.answer_oldest(name)
+        """Let an endpoint answer its oldest pending request, and check that the client gets the response."""
+        self._pending.answer_oldest(name)
         [answered], _ = await asyncio.wait(self._exchanges, return_when=asyncio.FIRST_COMPLETED)
         self._exchanges.remove(answered)
         assert answered.result().status == 200
 
 
 @async_test
-async def test_warming_endpoint_holds_its_share_of_what_others_hold() -> None:
-    """A limit of one request would leave endpoints idle that are warming up, beside others that are full."""
-    held = HeldRequests()
+async def test_warming_endpoint_gets_its_share_of_requests_in_flight() -> None:
+    """A limit of one request would leave warming endpoints nearly idle while the others are at capacity."""
+    pending = PendingRequests()
     names = ("warm-1", "warm-2", "warming")
-    # The slow start is so long that the allowance does not grow while the test runs.
+    # The slow start is so long that the capacity of the warming endpoint does not grow during the test.
     slow_start = {"ColdFrom": 0.31, "ColdNs": 60_000_000_000}
-    async with run_endpoints(*map(held.script, names)) as endpoints:
+    async with run_endpoints(*map(pending.script, names)) as endpoints:
         entries = [
             endpoint_entry(name, endpoint.address) for name, endpoint in zip(names, endpoints, strict=True)
         ]
         entries[2]["born_ms"] = int(time.time() * 1000)
         known = endpoint_list(1, *entries)
         async with run_sidecar(known=known, settings=SETTINGS | {"Rules": slow_start}) as sidecar:
-            clients = HeldClients(sidecar, held, "read")
+            clients = PendingExchanges(sidecar, pending, "read")
             for _ in range(40):
                 await clients.send()
-            assert held.counts["warming"] == 0  # its share is earned by the responses of the others
+            # Only responses of warm endpoints add tokens for attempts at warming endpoints.
+            assert pending.counts["warming"] == 0
             for _ in range(80):
-                await clients.answer_oldest(max(names[:2], key=lambda name: held.counts[name]))
+                await clients.answer_oldest(max(names[:2], key=lambda name: pending.counts[name]))
                 await clients.send()
-            mean_count = (held.counts["warm-1"] + held.counts["warm-2"]) / 2
-            assert 3 <= held.counts["warming"] <= 0.4 * mean_count + 1, held.counts
+            mean_count = (pending.counts["warm-1"] + pending.counts["warm-2"]) / 2
+            assert 3 <= pending.counts["warming"] <= 0.4 * mean_count + 1, pending.counts
 
 
-def hang_on_reads(held: HeldRequests, hung: asyncio.Queue[ReceivedRequest]) -> Script:
-    """Return the script of the endpoint "hanging", which holds posts and never answers reads."""
-    hold = held.script("hanging")
+def hang_on_reads(pending: PendingRequests, hung_reads: asyncio.Queue[ReceivedRequest]) -> Script:
+    """Return the script of the endpoint "hanging".
+
+    It answers posts when the test releases them, and never answers reads.
+    """
+    wait_for_release = pending.script("hanging")
 
     async def script(request: ReceivedRequest) -> bytes | None:
         if request.request_line.startswith(b"POST"):
-            return await hold(request)
-        hung.put_nowait(request)
+            return await wait_for_release(request)
+        hung_reads.put_nowait(request)
         return await never_answer(request)
 
     return script
 
 
-def serve_reads(held: HeldRequests) -> Script:
-    """Return the script of the endpoint "healthy", which holds posts and answers reads at once."""
-    hold = held.script("healthy")
+def serve_reads(pending: PendingRequests) -> Script:
+    """Return the script of the endpoint "healthy".
+
+    It answers posts when the test releases them, and reads at once.
+    """
+    wait_for_release = pending.script("healthy")
 
     async def script(request: ReceivedRequest) -> bytes | None:
         if request.request_line.startswith(b"POST"):
-            return await hold(request)
+            return await wait_for_release(request)
         return ok_response()
 
     return script
@@ -105,19 +117,19 @@
 
 
 @async_test
-async def test_class_that_hangs_at_an_endpoint_goes_elsewhere_and_other_classes_stay() -> None:
-    """Hanging requests of one class are neither overload nor a fault of the endpoint for other classes."""
-    held = HeldRequests()
-    hung = asyncio.Queue[ReceivedRequest]()
-    settings = change_classes({"AimNs": 200_000_000})
+async def test_class_whose_requests_hang_is_sent_elsewhere_and_other_classes_are_not() -> None:
+    """Hanging requests of one class must not count as overload or as failures of the other classes."""
+    pending = PendingRequests()
+    hung_reads = asyncio.Queue[ReceivedRequest]()
+    settings = settings_with_overrides({"AimNs": 200_000_000})
     async with (
-        run_endpoints(hang_on_reads(held, hung), serve_reads(held)) as endpoints,
+        run_endpoints(hang_on_reads(pending, hung_reads), serve_reads(pending)) as endpoints,
         run_sidecar(*(endpoint.address for endpoint in endpoints), settings=settings) as sidecar,
     ):
-        posts = HeldClients(sidecar, held, "post")
+        posts = PendingExchanges(sidecar, pending, "post")
         for _ in range(12):
             await posts.send()
-        # The endpoint that has just answered holds the fewest requests, so the next request goes there.
+        # The endpoint that has just answered has the fewest requests in flight, so it gets the next request.
         for _ in range(3):
             await posts.answer_oldest("healthy")
             await check_read_is_answered(sidecar)
@@ -128,9 +140,9 @@
             client = await sidecar.connect_client()
             waiting_clients.append(client)
             client.writer.write(request_bytes())
-            await hung.get()
+            await hung_reads.get()
         event_count = len(sidecar.events)
-        while sidecar.events[event_count:].count(CYCLE_TIMER) < 6:
+        while sidecar.events[event_count:].count(CONTROL_CYCLE_TIMER) < 6:
             for name in ("hanging", "healthy"):
                 await posts.answer_oldest(name)
                 await posts.send()
@@ -138,42 +150,42 @@
             await posts.answer_oldest("hanging")
             await check_read_is_answered(sidecar)
             await posts.send()
-        assert hung.empty()
-        assert held.counts["hanging"] == 3, held.counts
+        assert hung_reads.empty()
+        assert pending.counts["hanging"] == 3, pending.counts
 
 
 class HangingReads:
-    """Endpoints at which reads hang while posts are answered, in time that the test advances.
+    """Endpoints at which reads hang while posts are answered; the clock is advanced by the test.
 
-    Until `has_recovered` is set, every read hangs; after that only the first one does.
+    Until `has_recovered` is set, every read hangs. After that a read hangs only if `hung_reads` is empty.
     """
 
     RESPONSE_TIME_NS = 10 * MILLISECOND_NS
     """How long an endpoint takes to answer a post."""
     POST_COUNT = 4
-    """Number of posts sent at once: enough for each endpoint to get one, however the reads are split."""
+    """Number of posts sent at once: enough for each endpoint to get one, however reads are distributed."""
     PAUSE_NS = 15 * MILLISECOND_NS
     """Time between the responses and the next posts: longer than the reuse delay of their connections."""
 
     def __init__(self, manual_time: ManualTime) -> None:
-        self.hung: list[ReceivedRequest] = []
+        self.hung_reads: list[ReceivedRequest] = []
         self.has_recovered = False
         self._time = manual_time
-        self._held = HeldRequests()
+        self._pending = PendingRequests()
 
     def script(self, name: str) -> Script:
         """Return the script of the endpoint with this name."""
-        hold = self._held.script(name)
+        wait_for_release = self._pending.script(name)
 
         async def script(request: ReceivedRequest) -> bytes | None:
             if request.request_line.startswith(b"POST"):
-                return await hold(request)
-            if not self.has_recovered or not self.hung:
-                self.hung.append(request)
+                return await wait_for_release(request)
+            if not self.has_recovered or not self.hung_reads:
+                self.hung_reads.append(request)
                 return await never_answer(request)
-            # There are never two attempts at once, so the earlier one has ended. Its end and this request
-            # arrive on two sockets, of which the event loop may read either one first.
-            await self.hung[-1].connection_closed.wait()
+            # The sidecar makes one attempt at a time, so the earlier attempt has ended. The close of its
+            # connection and this request arrive on two sockets, and the event loop may read either one first.
+            await self.hung_reads[-1].connection_closed.wait()
             return ok_response(b"again")
 
         return script
@@ -181,13 +193,13 @@
     async def serve_posts_until(
         self, is_over: Callable[[], object], sidecar: Sidecar, clients: list[Client]
     ) -> None:
-        """Have posts answered that were sent after the hanging reads, while time passes."""
+        """Send and answer posts that overtake the hanging reads, and advance the clock, until `is_over`."""
         while not is_over():
             exchanges = asyncio.gather(*(client.exchange(request_bytes("post")) for client in clients))
-            names = [await self._held.arrivals.get() for _ in clients]
+            names = [await self._pending.arrivals.get() for _ in clients]
             self._time.advance(self.RESPONSE_TIME_NS)
             for name in names:
-                self._held.answer_oldest(name)
+                self._pending.answer_oldest(name)
             assert [response.status for response in await exchanges] == [200] * len(clients)
             self._time.advance(self.PAUSE_NS)
             await wait_until(lambda: all_attempts_are_sent(sidecar))
@@ -214,7 +226,7 @@
 
 @async_test
 async def test_hung_attempt_is_cancelled_and_its_retry_is_answered(monkeypatch: pytest.MonkeyPatch) -> None:
-    """If it waited for its deadline instead, each request that hangs at one endpoint would be rejected."""
+    """If a hung attempt ran until its deadline, each request that hangs at one endpoint would be rejected."""
     manual_time = ManualTime()
     reads = HangingReads(manual_time)
     limits = SETTINGS["Limits"] | {"Cancel": True}
@@ -224,36 +236,37 @@
             *(endpoint.address for endpoint in endpoints),
             clock=manual_time,
             dispatcher_loop=event_loop_with_timers_of(manual_time),
-            settings=change_classes({"AimNs": 200_000_000}, Limits=limits),
+            settings=settings_with_overrides({"AimNs": 200_000_000}, Limits=limits),
         ) as sidecar,
     ):
         clients = [await sidecar.connect_client() for _ in range(16)]
         posting_clients = [await sidecar.connect_client() for _ in range(reads.POST_COUNT)]
 
-        # Requests that take long look like hung ones at first: some have to fail.
-        alone = await send_reads(clients[:1], sidecar, deadline="1.2")
-        await reads.serve_posts_until(alone.done, sidecar, posting_clients)
-        [response] = alone.result()
+        # Requests that take long look like hung ones at first: some have to fail before one is cancelled.
+        first_exchange = await send_reads(clients[:1], sidecar, deadline="1.2")
+        await reads.serve_posts_until(first_exchange.done, sidecar, posting_clients)
+        [response] = first_exchange.result()
         assert response.status in (503, 504)
-        assert len(reads.hung) <= 2  # not cancelled, except in the last millisecond before its deadline
-        others = await send_reads(clients[1:], sidecar, deadline="1.2")
-        await reads.serve_posts_until(others.done, sidecar, posting_clients)
-        assert {response.status for response in others.result()} <= {503, 504}
+        # The read is not cancelled, except in the last millisecond before its deadline.
+        assert len(reads.hung_reads) <= 2
+        other_exchanges = await send_reads(clients[1:], sidecar, deadline="1.2")
+        await reads.serve_posts_until(other_exchanges.done, sidecar, posting_clients)
+        assert {response.status for response in other_exchanges.result()} <= {503, 504}
 
-        reads.hung.clear()
+        reads.hung_reads.clear()
         reads.has_recovered = True
-        # One in ten is never cancelled, so that the policy learns how such attempts end: not this one.
+        # The policy lets one in ten hung attempts go on, to learn how they end, but it cancels this one.
         monkeypatch.setattr(sidecar.balancer.random, "random", lambda: 0.5)
         event_count = len(sidecar.events)
-        last = await send_reads(clients[:1], sidecar, deadline="9")
+        last_exchange = await send_reads(clients[:1], sidecar, deadline="9")
 
         def is_decided() -> bool:
-            return last.done() or any(map(is_cancelled_attempt, sidecar.events[event_count:]))
+            return last_exchange.done() or any(map(is_cancelled_attempt, sidecar.events[event_count:]))
 
         await reads.serve_posts_until(is_decided, sidecar, posting_clients)
-        [response] = await last
+        [response] = await last_exchange
         assert response.status_and_body == (200, b"again")
-        assert len(reads.hung) == 1
+        assert len(reads.hung_reads) == 1
 
 
 def is_cancelled_attempt(event: Event) -> bool:
--- a/tests/soak/test_mutation_testing.py
+++ b/tests/soak/test_mutation_testing.py
@@ -1,4 +1,4 @@
-"""Tests of the mutation testing."""
+"""Tests of the mutants, and of the command line that runs the soak on them."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
     "arguments",
     [["no such mutant"], ["--jobs", "0"], ["--jobs", "x"], ["--seconds", "1"], ["--seeds", "x"], ["--what"]],
 )
-def test_invalid_arguments_are_refused_in_one_line(
+def test_invalid_arguments_are_rejected_with_one_line(
     arguments: list[str], capsys: pytest.CaptureFixture[str]
 ) -> None:
     with pytest.raises(SystemExit) as caught:
@@ -51,4 +51,4 @@
     with pytest.raises(SystemExit) as caught:
         main(["--help"])
     assert caught.value.code == 0
-    assert "A mutant takes one guard of the sidecar away" in " ".join(capsys.readouterr().out.split())
+    assert "A mutant removes one safeguard of the sidecar" in " ".join(capsys.readouterr().out.split())
