--- a/tests/policy/test_gossip.py
+++ b/tests/policy/test_gossip.py
@@ -12,9 +12,7 @@
 def test_sidecars_share_evidence_and_the_threshold() -> None:
     """A restarted sidecar takes over the threshold of the others."""
     running = BalancerHarness(two_priority_settings(gossip_enabled=True, sidecar_count=2, sidecar_index=0))
-    restarted = BalancerHarness(
-        two_priority_settings(gossip_enabled=True, sidecar_count=2, sidecar_index=1)
-    )
+    restarted = BalancerHarness(two_priority_settings(gossip_enabled=True, sidecar_count=2, sidecar_index=1))
     for _ in range(5):
         running.tick()
     running.serve_requests(10)
