--- a/balancer/policy/overload/gossip.py
+++ b/balancer/policy/overload/gossip.py
@@ -6,7 +6,7 @@
 
 from random import Random
 
-from balancer.gossip_codec import MAX_VALUE, GossipCodec, GossipMessage
+from balancer.gossip_codec import MAX_SUM, GossipCodec, GossipMessage
 from balancer.policy.overload.admission import AdmissionControl
 from balancer.policy.overload.detector import OverloadDetector
 from balancer.policy_api import GossipReceived, SendGossip, Settings
@@ -51,10 +51,10 @@
     def share(self) -> list[SendGossip]:
         """Halve all sums and return a message with the other halves, if there is another sidecar."""
         settings = self._settings
-        if not settings.gossip_enabled or settings.instance_count <= 1:
+        if not settings.gossip_enabled or settings.sidecar_count <= 1:
             return []
         message = self._current_message()
-        message.scale(RETAINED_SHARE, MAX_VALUE)
+        message.scale(RETAINED_SHARE, MAX_SUM)
         return [SendGossip(self._draw_recipient(), self.codec.encode(message))]
 
     def merge(self, _now_ns: int, event: GossipReceived) -> None:
@@ -68,8 +68,8 @@
 
     def _draw_recipient(self) -> int:
         """Return the index of a random other sidecar."""
-        recipient_index = int(self._random.random() * (self._settings.instance_count - 1))
-        if recipient_index >= self._settings.instance_index:
+        recipient_index = int(self._random.random() * (self._settings.sidecar_count - 1))
+        if recipient_index >= self._settings.sidecar_index:
             recipient_index += 1
         return recipient_index
 
--- a/balancer/policy/overload/queueing_delay.py
+++ b/balancer/policy/overload/queueing_delay.py
@@ -42,7 +42,7 @@
             queueing_delay = evidence.delay_sum / evidence.sample_count
         response_ratio = 1.0
         if evidence.attempt_count > MIN_COUNT:
-            response_ratio = evidence.answer_count / evidence.attempt_count
+            response_ratio = evidence.response_count / evidence.attempt_count
         return LoadEstimate(queueing_delay, response_ratio)
 
     def weighted_mean(self, other: LoadEstimate, other_share: float) -> LoadEstimate:
@@ -106,7 +106,7 @@
 
     def record_success(self, zone: int) -> None:
         """Count a successful response."""
-        self.evidence[zone].answer_count += 1
+        self.evidence[zone].response_count += 1
 
     def record_delay(self, endpoint: EndpointState, request: RequestState, delay: float) -> None:
         """Record the queueing delay of an attempt, in place of what was recorded for it before."""
--- a/benchmarks/membership_cost.py
+++ b/benchmarks/membership_cost.py
@@ -205,7 +205,7 @@
     )
     return Settings(
         classes=(request_class,),
-        instance_count=sidecar_count,
+        sidecar_count=sidecar_count,
         zone_count=ZONE_COUNT,
         health_checks_enabled=True,
         handshake_price=0.06,
--- a/tests/policy/invariant_steps.py
+++ b/tests/policy/invariant_steps.py
@@ -201,7 +201,7 @@
     idempotency=st.sampled_from(list(Idempotency)),
     deduplication_scope=st.sampled_from(list(DeduplicationScope)),
     deduplication_window_ns=st.sampled_from([50 * MILLISECOND_NS, 5 * SECOND_NS]),
-    late_answer_value=st.sampled_from([0.0, 0.5]),
+    late_response_value=st.sampled_from([0.0, 0.5]),
 )
 SETTINGS = st.builds(
     build_settings,
@@ -211,7 +211,7 @@
     gossip_enabled=st.booleans(),
     health_checks_enabled=st.booleans(),
     key_affinity=st.booleans(),
-    instance_count=st.just(3),
+    sidecar_count=st.just(3),
     cross_zone_price=st.sampled_from([0.0, 0.2]),
     polls_discovery=st.booleans(),
     tenants=st.sampled_from([(), (Tenant("a", 9.0), Tenant("b", 0.0))]),
--- a/tests/policy/test_gossip.py
+++ b/tests/policy/test_gossip.py
@@ -11,10 +11,8 @@
 
 def test_sidecars_share_evidence_and_the_threshold() -> None:
     """A restarted sidecar takes over the threshold of the others."""
-    running = BalancerHarness(two_priority_settings(gossip_enabled=True, instance_count=2, instance_index=0))
-    restarted = BalancerHarness(
-        two_priority_settings(gossip_enabled=True, instance_count=2, instance_index=1)
-    )
+    running = BalancerHarness(two_priority_settings(gossip_enabled=True, sidecar_count=2, sidecar_index=0))
+    restarted = BalancerHarness(two_priority_settings(gossip_enabled=True, sidecar_count=2, sidecar_index=1))
     for _ in range(5):
         running.tick()
     running.serve_requests(10)
@@ -29,7 +27,7 @@
 
 @pytest.mark.parametrize("payload", [b"", b"x" * 5, b"\xff" * 256, bytes(range(200))])
 def test_malformed_payload_is_ignored(payload: bytes) -> None:
-    harness = BalancerHarness(two_priority_settings(gossip_enabled=True, instance_count=2))
+    harness = BalancerHarness(two_priority_settings(gossip_enabled=True, sidecar_count=2))
     harness.handle(GossipReceived(1, payload))
     message_bytes = harness.balancer.gossip.codec.message_bytes
     harness.handle(GossipReceived(1, (payload * 50)[:message_bytes].ljust(message_bytes, b"\xff")))
--- a/tests/policy/test_outlier_detection.py
+++ b/tests/policy/test_outlier_detection.py
@@ -70,7 +70,7 @@
 ) -> None:
     """If a third of all connects fail, single failures eject half the endpoints and overload the others."""
     harness = BalancerHarness(
-        settings(request_class(late_answer_value=0.5), max_attempts=1), endpoint_count=8
+        settings(request_class(late_response_value=0.5), max_attempts=1), endpoint_count=8
     )
     for index in range(400):
         harness.now_ns += 20 * MILLISECOND_NS
@@ -104,7 +104,7 @@
 
 def test_ejected_endpoint_returns_after_successful_health_check() -> None:
     harness = BalancerHarness(
-        settings(health_checks_enabled=True, gossip_enabled=True, instance_count=2), endpoint_count=4
+        settings(health_checks_enabled=True, gossip_enabled=True, sidecar_count=2), endpoint_count=4
     )
     unresponsive = harness.endpoint(1)
     unresponsive.in_flight = outlier_detection.MIN_IN_FLIGHT_TO_EJECT
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -15,7 +15,7 @@
     attempts_to_warming = 0
     for seed in range(100):
         harness = BalancerHarness(
-            settings(instance_index=seed, instance_count=100), endpoint_count=0, seed=seed
+            settings(sidecar_index=seed, sidecar_count=100), endpoint_count=0, seed=seed
         )
         harness.update_endpoints(
             *(
@@ -33,7 +33,7 @@
     attempts = Counter[int]()
     for seed in range(100):
         harness = BalancerHarness(
-            settings(instance_index=seed, instance_count=100, cold_overload_multiple=2.5),
+            settings(sidecar_index=seed, sidecar_count=100, warming_overload_multiple=2.5),
             endpoint_count=0,
             seed=seed,
         )
@@ -96,7 +96,7 @@
 def test_rejected_attempts_add_no_tokens() -> None:
     """With many retries, a fixed share of the attempts would exceed the capacity of warming endpoints."""
     harness = BalancerHarness(
-        settings(request_class(late_answer_value=0.5), max_attempts=1), endpoint_count=0
+        settings(request_class(late_response_value=0.5), max_attempts=1), endpoint_count=0
     )
     harness.update_endpoints(
         *(
@@ -113,7 +113,7 @@
 
 def test_warming_endpoints_get_no_further_attempts_of_a_request() -> None:
     """A retry needs a warm endpoint."""
-    harness = BalancerHarness(settings(request_class(late_answer_value=0.5)), endpoint_count=0)
+    harness = BalancerHarness(settings(request_class(late_response_value=0.5)), endpoint_count=0)
     warming = (endpoint(number, started_at_ns=START_NS - 4 * SECOND_NS) for number in range(2, 9))
     harness.update_endpoints(endpoint(1), *warming)
     for _ in range(40):
--- a/tests/test_gossip_codec.py
+++ b/tests/test_gossip_codec.py
@@ -1,4 +1,7 @@
-"""Tests of `balancer.gossip_codec`: the bytes of gossip are those of earlier versions."""
+"""Tests that gossip messages have the same bytes as in earlier versions, and that invalid ones are rejected.
+
+A change of the format would keep sidecars of different versions from reading each other's gossip.
+"""
 
 from __future__ import annotations
 
@@ -12,7 +15,7 @@
 PAYLOAD_OF_AN_EARLIER_VERSION = bytes.fromhex(
     "00295c1942c1ba3343334333430000000000000000664500005538b34500000000"
 )
-"""Sent by version 0.1.0, with two zones, two business levels and two classes."""
+"""A message that version 0.1.0 sent, with two zones, two business levels and two classes."""
 
 
 @pytest.fixture
@@ -59,7 +62,7 @@
 
 
 @pytest.mark.parametrize("position", range(5, len(PAYLOAD_OF_AN_EARLIER_VERSION), 2))
-def test_value_that_is_no_number_is_rejected(codec: GossipCodec, position: int) -> None:
+def test_value_that_is_not_a_number_is_rejected(codec: GossipCodec, position: int) -> None:
     payload = bytearray(PAYLOAD_OF_AN_EARLIER_VERSION)
     payload[position : position + 2] = struct.pack("<e", float("nan"))
     assert codec.decode(bytes(payload)) is None
