--- a/balancer/simulator/record_codes.py
+++ b/balancer/simulator/record_codes.py
@@ -1,4 +1,4 @@
-"""The codes of records, outcomes, update kinds and health states on the simulator's wire.
+"""The codes of records, outcomes, update kinds and health states in the simulator's protocol.
 
 Events and actions have separate sets of record codes. The comments give the names in the simulator's manual.
 """
@@ -68,8 +68,8 @@
     2: EndpointHealth.DRAINING,
 }
 
-WORK_HINT_IS_VALID: Final = 1
-"""Bit of the flags of a request: its work hint is set."""
+WORK_HINT_PRESENT_FLAG: Final = 1
+"""Bit in the flags of a request: the request has a work hint."""
 
-CLIENT_RETRY: Final = 2
-"""Bit of the flags of a request: the client marked it as a retry."""
+CLIENT_RETRY_FLAG: Final = 2
+"""Bit in the flags of a request: the client marked it as a retry."""
--- a/tests/benchmarks/runner.py
+++ b/tests/benchmarks/runner.py
@@ -1,4 +1,4 @@
-"""Run asynchronous tests on the event loop of the standard library, which the benchmarks use."""
+"""Runs asynchronous tests on the event loop of the standard library, which the benchmarks use."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 from benchmarks.discovery_stand_in import DiscoveryStandIn
 
 TEST_TIMEOUT_SECONDS = 20.0
-"""A test that hangs fails after this time; no test passes or fails because of a shorter one."""
+"""Time after which a hanging test fails. No test passes or fails because of a shorter time."""
 
-HOST_COUNT = 3
+ENDPOINT_COUNT = 3
 """Length of the endpoint list of the discovery agent."""
 
 
@@ -28,7 +28,7 @@
     """Run a test with a discovery agent; raises TimeoutError if it hangs."""
 
     async def run_in_context() -> None:
-        async with DiscoveryStandIn(HOST_COUNT) as discovery:
+        async with DiscoveryStandIn(ENDPOINT_COUNT) as discovery:
             await test(discovery)
 
     run(run_in_context)
--- a/tests/policy/test_invariants.py
+++ b/tests/policy/test_invariants.py
@@ -1,4 +1,4 @@
-"""Arbitrary legal events, with an independent checker of the invariants that a single sidecar has to keep."""
+"""Tests with arbitrary legal events, whose results an independent checker compares with the invariants."""
 
 from __future__ import annotations
 
@@ -74,4 +74,4 @@
     ]
     checker = run_steps(config, [*steps, AdvanceClock(5000)])
     assert not checker.ledger.requests
-    assert checker.final_answer_count > 50
+    assert checker.final_response_count > 50
--- a/tests/soak/invariants/test_endpoint_list.py
+++ b/tests/soak/invariants/test_endpoint_list.py
@@ -1,4 +1,4 @@
-"""Tests of the invariant of the endpoint list."""
+"""Tests of the invariant of the endpoint list: departing account servers get no new attempts."""
 
 from __future__ import annotations
 
@@ -13,6 +13,7 @@
 UP = EndpointHealth.UP
 
 
+# Each notification has its age in seconds when the attempt is sent; the grace time is 1 s.
 @pytest.mark.parametrize(
     ("notifications", "is_broken"),
     [
@@ -29,5 +30,5 @@
         for health, before_seconds in notifications
     ]
     of_other_sidecar = EndpointNotification("n1", "s0", DRAINING, 1.0)
-    given = history(request(), attempt(), *events, of_other_sidecar)
-    assert bool(list(check_drains(given, deployment()))) == is_broken
+    recorded_history = history(request(), attempt(), *events, of_other_sidecar)
+    assert bool(list(check_drains(recorded_history, deployment()))) == is_broken
