--- a/balancer/policy/overload/priority_levels.py
+++ b/balancer/policy/overload/priority_levels.py
@@ -28,7 +28,7 @@
         self._business_level_by_class = [
             weights.index(request_class.priority_weight) for request_class in settings.classes
         ]
-        self._instance_index = settings.sidecar_index
+        self._sidecar_index = settings.sidecar_index
         self.business_level_count = len(weights)
 
     def business_level(self, event: RequestReceived) -> int:
@@ -50,7 +50,7 @@
         At one sidecar all requests of a tenant without keys have the same user level and position. Over the
         fleet they are evenly distributed.
         """
-        user_hash = mix64(self._instance_index ^ mix64(event.tenant_index ^ _salt(now_ns)))
+        user_hash = mix64(self._sidecar_index ^ mix64(event.tenant_index ^ _salt(now_ns)))
         level = self.business_level(event) * USER_LEVELS + user_hash % USER_LEVELS
         return level + (user_hash >> _USER_LEVEL_BITS) / _POSITION_RANGE
 
--- a/soak/invariants/processes.py
+++ b/soak/invariants/processes.py
@@ -84,8 +84,8 @@
 def _check_log(incarnation: SidecarIncarnation) -> Iterator[Violation]:
     at_seconds = incarnation.ended_at_seconds or incarnation.started_at_seconds
     for line in incarnation.log.splitlines():
-        reports_defect = any(text in line for text in DEFECT_LOG_TEXTS)
-        is_expected = any(text in line for text in EXPECTED_LOG_TEXTS)
+        reports_defect = any(defect_text in line for defect_text in DEFECT_LOG_TEXTS)
+        is_expected = any(expected_text in line for expected_text in EXPECTED_LOG_TEXTS)
         if reports_defect and not is_expected:
             yield Violation(Invariant.LOG, line, at_seconds, (incarnation,))
 
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -72,10 +72,10 @@
         *(endpoint(number, started_at_ns=harness.now_ns if number == 1 else 0) for number in range(1, 9))
     )
     attempts_to_warming = 0
-    for turn in range(16):  # four seconds without a response of a warm endpoint
+    for tick_index in range(16):  # four seconds without a response of a warm endpoint
         harness.tick(0.25)
         for key_hash in range(1, 21):  # from many users, so that some are admitted
-            action = harness.request(key_hash=100 * turn + key_hash)
+            action = harness.request(key_hash=100 * tick_index + key_hash)
             if isinstance(action, StartAttempt) and endpoint_number(action.endpoint_id) == 1:
                 attempts_to_warming += 1
                 harness.complete(action)
