--- a/balancer/sidecar/discovery/endpoint_list.py
+++ b/balancer/sidecar/discovery/endpoint_list.py
@@ -90,10 +90,11 @@
     An invalid entry is logged and skipped, unless it says that its endpoint is draining or removed. Unknown
     names of zones and machine classes get the index 0.
 
-    Raises MalformedEndpointListError if it is not an object, or has no list of entries or no integer version.
+    Raises MalformedEndpointListError if it is not a JSON object, or has no list of entries or no integer
+    version.
     """
     if not is_object(raw):
-        raise MalformedEndpointListError("list", "is not an object", raw)
+        raise MalformedEndpointListError("list", "is not a JSON object", raw)
     entries = raw.get("hosts")
     if not is_list(entries):
         raise MalformedEndpointListError("hosts", "is not a list", entries)
@@ -139,7 +140,7 @@
 
 def _parse_entry(entry: object, name_indices: NameIndices) -> DiscoveredEndpoint:
     if not is_object(entry):
-        raise InvalidEndpointEntryError(None, "entry", "is not an object", entry)
+        raise InvalidEndpointEntryError(None, "entry", "is not a JSON object", entry)
     host = entry.get("host")
     if not isinstance(host, str):
         raise InvalidEndpointEntryError(host, "host", "is not a string", host)
