--- a/balancer/gossip_codec.py
+++ b/balancer/gossip_codec.py
@@ -24,7 +24,7 @@
 from struct import Struct
 
 MAX_SUM = 60_000.0
-"""The largest sum in a message: a half float holds little more, and a larger number would be a fault."""
+"""The largest sum in a message: a half float holds little more, and a larger number would be a defect."""
 
 MAX_MEAN_DELAY = 2.01
 """The largest mean queueing delay, as a share of the slack.
--- a/balancer/policy/overload/gossip.py
+++ b/balancer/policy/overload/gossip.py
@@ -21,7 +21,7 @@
 """Weight of a received threshold just after a start, when the sidecar's own says nothing."""
 
 MIN_CYCLES_TO_SHARE_THRESHOLD = 4
-"""Measurement cycles after which a sidecar's own threshold is worth sharing."""
+"""Measurement cycles after which a sidecar's own threshold is reliable enough to share."""
 
 
 class Gossip:
@@ -45,7 +45,7 @@
 
     @property
     def _has_established_threshold(self) -> bool:
-        """Whether the sidecar's own threshold is worth sharing."""
+        """Whether the sidecar's own threshold is reliable enough to share."""
         return self.cycle_count >= MIN_CYCLES_TO_SHARE_THRESHOLD
 
     def share(self) -> list[SendGossip]:
--- a/balancer/policy/overload/spillover.py
+++ b/balancer/policy/overload/spillover.py
@@ -21,7 +21,7 @@
 
 
 class CrossZoneSpillover:
-    """Maintains the spillover ratio, and decides which requests are worth the price of another zone."""
+    """Maintains the spillover ratio, and decides which requests may go to another zone, by their weight."""
 
     def __init__(self, settings: Settings) -> None:
         self._cross_zone_price = settings.cross_zone_price
--- a/balancer/policy/requests/retry.py
+++ b/balancer/policy/requests/retry.py
@@ -43,7 +43,7 @@
         self.tokens -= 1
 
     def is_client_retry_too_late(self, event: api.RequestReceived, now_ns: int) -> bool:
-        """Return whether a client's retry comes so late that its response is worth nothing.
+        """Return whether a client's retry comes so late that its response has no value.
 
         The latency objective counts from the client's first request. When that was sent is estimated from the
         time left.
@@ -61,8 +61,8 @@
     def attempt_timeout_ns(self, request: RequestState, now_ns: int) -> int:
         """Return how long to wait for an attempt; 0 to wait until the client gives up.
 
-        The attempt times out at the latency objective if a late response is worth nothing, or if requests
-        queue although endpoints are probed for load.
+        The attempt times out at the latency objective if a late response has no value, or if requests queue
+        although endpoints are probed for load.
         """
         has_queues = self._load_probing.is_enabled and not self._overload.has_low_queueing_delay
         if request.request_class.late_response_value and not has_queues:
@@ -99,7 +99,7 @@
 
 
 def _useful_until_ns(request: RequestState) -> int:
-    """Return the time from which a response to a request is worth nothing."""
+    """Return the time from which a response to a request has no value."""
     if request.request_class.late_response_value:
         return request.expires_at_ns
     return min(request.objective_deadline_ns, request.expires_at_ns)
--- a/balancer/sidecar/http/outbound_connection.py
+++ b/balancer/sidecar/http/outbound_connection.py
@@ -167,7 +167,7 @@
         if transport is None:
             return
         if was_in_flight and not transport.is_closing():
-            # The event loop closes the socket only in its next iteration. A retry may be written before that,
-            # and two copies of the request would be in flight.
+            # The event loop closes the socket only in its next iteration. If a retry were written before
+            # that, two copies of the request would be in flight.
             shut_down_socket(self._file_descriptor, socket.SHUT_RDWR)
         transport.abort()
--- a/balancer/sidecar/http/response_parser.py
+++ b/balancer/sidecar/http/response_parser.py
@@ -133,8 +133,8 @@
         Bytes after a complete response make the connection unusable for a further request, but the response
         stays valid. Raises ResponseError.
         """
-        # httptools calls no callback for an incomplete header, which it buffers, or for chunk extensions,
-        # which it skips. So the raw bytes are limited as well.
+        # httptools buffers an incomplete header and skips chunk extensions, and calls no callback for either.
+        # The number of raw bytes is therefore limited as well.
         self.received_bytes += len(data)
         error: ResponseError | None = None
         try:
--- a/balancer/sidecar/runtime/metrics.py
+++ b/balancer/sidecar/runtime/metrics.py
@@ -12,7 +12,7 @@
 from enum import StrEnum
 
 MAX_LOGGED_VIOLATIONS = 20
-"""The number of violations of each invariant that are logged, so that a fault does not fill the log.
+"""The number of violations of each invariant that are logged, so that a defect does not fill the log.
 
 Further violations are only counted.
 """
@@ -48,7 +48,7 @@
 
 
 class Invariant(StrEnum):
-    """Conditions that must always hold; a violation is a fault of this program."""
+    """Conditions that must always hold; a violation is a defect of this program."""
 
     RESPONSE_BY_DEADLINE = "answer_by_deadline"
     """The policy answers a request by its deadline."""
--- a/soak/command_line.py
+++ b/soak/command_line.py
@@ -32,6 +32,7 @@
     """Return a function that parses a number of seconds in a range; the bounds are included."""
 
     def parse(text: str) -> float:
+        """Parse a number of seconds. Raises ArgumentTypeError if it is not one in the range."""
         try:
             seconds = float(text)
         except ValueError:
--- a/soak/invariants/attempts.py
+++ b/soak/invariants/attempts.py
@@ -88,6 +88,7 @@
     """Yield violations if the later attempt may have executed the request a second time."""
 
     def violation(message: str) -> Violation:
+        """Return a violation with this message, at the time when the later attempt arrived."""
         return request_violation(Invariant.DUPLICATE_EXECUTION, message, later.received_at_seconds, request)
 
     if request_class.idempotency == Idempotency.NOT_IDEMPOTENT:
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class KnownRed:
-    """A test that is known to fail, and the fault that causes the failure."""
+    """A test that is known to fail, and the defect that causes the failure."""
 
     test_id: str
     cause: str
--- a/tests/policy/fleet_servers.py
+++ b/tests/policy/fleet_servers.py
@@ -44,7 +44,7 @@
 
     @property
     def entry(self) -> Endpoint:
-        """Its entry in the endpoint list."""
+        """The entry of the account server in the endpoint list."""
         return endpoint(self.number, zone=self.zone, started_at_ns=self.started_at_ns)
 
     def capacity(self, now_ns: int, settings: Settings) -> float:
--- a/tests/policy/test_fleet.py
+++ b/tests/policy/test_fleet.py
@@ -99,9 +99,10 @@
 
 @pytest.mark.parametrize("seed", [1, 2])
 def test_fleet_recovers_from_a_burst_within_its_connection_limits(seed: int) -> None:
-    """With keys and grown subsets each sidecar could connect to each account server.
+    """Without a connection budget, each sidecar could connect to each account server in a burst.
 
-    Together they would fill the connection tables of the account servers.
+    Requests with keys and subsets that grow would cause this. Together the connections of all sidecars would
+    fill the connection tables of the account servers.
     """
     fleet = FleetSimulation(BURST_SETTINGS, 90, [AccountServer(number) for number in range(1, 41)], seed)
     fleet.client_retries = 1
--- a/tests/policy/test_retry.py
+++ b/tests/policy/test_retry.py
@@ -93,7 +93,7 @@
 
 
 def test_client_retry_that_comes_too_late_is_rejected(harness: BalancerHarness) -> None:
-    """Its response would be worth nothing, and it would take capacity from requests that are in time."""
+    """The response to a late retry has no value, and serving it takes capacity from requests in time."""
     harness.complete(harness.start_attempt(time_left_ns=1500 * MILLISECOND_NS))
     # The client has waited one of its two seconds, and the latency objective is half a second.
     expires_at_ns = harness.now_ns + 1000 * MILLISECOND_NS
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -45,7 +45,8 @@
         )
         for _ in range(12):
             attempts[harness.serve_request()] += 1
-    fair_share = 1200 * (0.3 + 0.7 / 8) / 2  # the rest goes to the two warm endpoints
+    # The two warm endpoints get all other requests, so they get at most 600 each on average.
+    fair_share = 1200 * (0.3 + 0.7 / 8) / 2
     assert all(0 < attempts[number] < fair_share for number in range(1, 7)), attempts
     assert attempts[0] == 0  # none is rejected, as the warm endpoints serve the rest
 
--- a/tests/policy/test_zone_router.py
+++ b/tests/policy/test_zone_router.py
@@ -35,11 +35,15 @@
     assert not any(is_remote(harness.start_attempt(1)) for _ in range(8))
     harness.balancer.overload.spillover.ratio = 1.0
     assert all(is_remote(harness.start_attempt(1)) for _ in range(8))
-    assert not any(is_remote(harness.start_attempt(0)) for _ in range(8))  # not worth the price
+    # The weight of class 0 does not exceed the price of crossing zones.
+    assert not any(is_remote(harness.start_attempt(0)) for _ in range(8))
 
 
 def test_less_loaded_remote_endpoints_take_what_local_ones_would_queue() -> None:
-    """Otherwise two local endpoints get all requests, up to their connection limits, while seven are idle."""
+    """If the load of remote endpoints did not count, seven of them would be idle.
+
+    The two local endpoints would get all requests, up to their connection limits.
+    """
     harness = two_local_and_seven_remote_endpoints(cross_zone_price=0.016, connection_price=0.06)
     local = start_local_attempts(harness, 45)
     assert all(local[:2])  # idle local ones come first
--- a/tests/sidecar/discovery/test_client.py
+++ b/tests/sidecar/discovery/test_client.py
@@ -301,7 +301,7 @@
     run(test())
 
 
-# ---- faults in applying an update
+# ---- failures to apply an update
 
 
 class FailingOnceObserver:
--- a/tests/sidecar/downstream/test_connection.py
+++ b/tests/sidecar/downstream/test_connection.py
@@ -143,7 +143,7 @@
 
 def close_by_eviction(sidecar: Sidecar) -> None:
     """Close an idle connection for new ones."""
-    set_time(sidecar, 0.0)  # so no new connection has waited yet
+    set_time(sidecar, 0.0)  # The clock stands still: no new connection has waited yet.
     for _ in range(2):
         sidecar.listener.on_connection_opened(DownstreamConnection(sidecar.listener))
 
--- a/tests/sidecar/downstream/test_listener.py
+++ b/tests/sidecar/downstream/test_listener.py
@@ -82,9 +82,9 @@
 
 @async_test
 async def test_longest_idle_connection_is_evicted_before_new_ones() -> None:
-    """Otherwise clients that stay connected after a request would use up the limit on connections."""
+    """Clients that stay connected after a request could otherwise use up the limit on connections."""
     async with run_endpoint(answer_ok) as endpoint, run_sidecar(endpoint.address, limits=LIMITS) as sidecar:
-        set_time(sidecar, 0.0)  # so no connection has waited yet
+        set_time(sidecar, 0.0)  # The clock stands still: no connection has waited yet.
         idle_clients = [await sidecar.connect_client() for _ in range(7)]
         for client in idle_clients:
             assert (await client.exchange(request_bytes()))[0] == 200
@@ -150,7 +150,7 @@
         run_sidecar_without_sweeps(endpoint.address, limits=LIMITS) as sidecar,
     ):
         assert sidecar.config.max_downstream_connections == MAX_CONNECTIONS
-        set_time(sidecar, 0.0)  # so no connection has waited yet
+        set_time(sidecar, 0.0)  # The clock stands still: no connection has waited yet.
         recorder = AdmissionRecorder(sidecar)
         connections = recorder.connections
         monkeypatch.setattr(sidecar.listener, "on_connection_opened", recorder.on_connection_opened)
--- a/tests/sidecar/downstream/test_pipelining.py
+++ b/tests/sidecar/downstream/test_pipelining.py
@@ -93,7 +93,10 @@
 
 @async_test
 async def test_request_read_after_a_pause_counts_from_the_start_of_the_pause() -> None:
-    """Its bytes wait in the socket while reading is paused, and no event reports when they arrived."""
+    """A request waits in the socket while reading is paused, and no event reports when it arrived.
+
+    If its timeout counted from when it is read, the endpoint would get more time than the client waits.
+    """
     async with run_pending_pipeline() as pipeline:
         sidecar, client = pipeline.sidecar, pipeline.client
         [connection] = sidecar.listener.accepting_connections
--- a/tests/sidecar/http/test_outbound_connection.py
+++ b/tests/sidecar/http/test_outbound_connection.py
@@ -186,7 +186,11 @@
 )
 @async_test
 async def test_unsuccessful_response_is_complete_with_its_head(raw: bytes, outcome: AttemptOutcome) -> None:
-    """Its body is not forwarded, so the sidecar neither waits for the body nor depends on how it ends."""
+    """The sidecar does not forward the body of an unsuccessful response.
+
+    If it waited for the body, an endpoint that does not end it would delay the outcome, and the end of the
+    body could change the outcome.
+    """
     async with pending_exchange() as exchange:
         exchange.peer.sendall(raw)  # the peer does not end the body
         assert outcome_of_response(await exchange.response) == outcome
--- a/tests/sidecar/upstream/test_attempt_partly_sent.py
+++ b/tests/sidecar/upstream/test_attempt_partly_sent.py
@@ -90,7 +90,9 @@
 @pytest.mark.parametrize("expired", ExpiredTime)
 @async_test
 async def test_rest_of_partly_sent_request_is_not_sent_after_its_time(expired: ExpiredTime) -> None:
-    """Otherwise the rest would be sent whenever the endpoint continues to read, also after the start window.
+    """If the sidecar kept the rest, it would send it whenever the endpoint continues to read.
+
+    That could be after the start window or after the request has expired.
 
     A request that was not sent completely is reported as not sent, not as a timeout.
     """
@@ -110,7 +112,7 @@
 
 @async_test
 async def test_rest_of_partly_sent_request_is_not_sent_after_client_disconnected() -> None:
-    """Otherwise the rest would be sent whenever the endpoint continues to read, although no client waits."""
+    """If the sidecar kept the rest, it would send it when the endpoint reads on, though no client waits."""
     async with endpoint_with_small_buffer() as (server, address), run_sidecar(address) as sidecar:
         upstream = sidecar.dispatcher.upstream
         in_flight = sidecar.dispatcher.request_registry.in_flight
--- a/tests/sidecar/upstream/test_pool.py
+++ b/tests/sidecar/upstream/test_pool.py
@@ -61,7 +61,7 @@
 
 @async_test
 async def test_connection_to_former_address_is_not_kept() -> None:
-    """Otherwise it would carry the next request to a machine that is no longer in the endpoint list."""
+    """On a kept connection the next request would reach a machine that is no longer in the endpoint list."""
     may_answer = asyncio.Event()
 
     async def answer_later(_request: ReceivedRequest) -> bytes:
@@ -111,7 +111,7 @@
 )
 @async_test
 async def test_connection_is_not_reused_within_reuse_delay(second_response: bytes) -> None:
-    """Otherwise a late second response to one request would be taken for the response to the next one."""
+    """On a reused connection a late second response would be taken for the response to the next request."""
     may_send_second = asyncio.Event()
 
     async def serve_connection(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
