--- a/balancer/policy/selection/zone_router.py
+++ b/balancer/policy/selection/zone_router.py
@@ -21,7 +21,7 @@
         self._overload = overload
 
     def may_cross_zones(self, request: RequestState) -> bool:
-        """Return whether there are remote endpoints and the request's weight exceeds the price of crossing."""
+        """Return whether there are remote endpoints and the request's weight exceeds the cross-zone price."""
         has_remote = bool(self._subsets.remote.members)
         return has_remote and self._overload.spillover.is_worth_crossing(request.request_class)
 
