--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -45,7 +45,8 @@
         )
         for _ in range(12):
             attempts[harness.serve_request()] += 1
-    fair_share = 1200 * (0.3 + 0.7 / 8) / 2  # the rest goes to the two warm endpoints
+    # The two warm endpoints get all other requests, so they get at most 600 each on average.
+    fair_share = 1200 * (0.3 + 0.7 / 8) / 2
     assert all(0 < attempts[number] < fair_share for number in range(1, 7)), attempts
     assert attempts[0] == 0  # none is rejected, as the warm endpoints serve the rest
 
@@ -72,10 +73,10 @@
         *(endpoint(number, started_at_ns=harness.now_ns if number == 1 else 0) for number in range(1, 9))
     )
     attempts_to_warming = 0
-    for turn in range(16):  # four seconds without a response of a warm endpoint
+    for tick_index in range(16):  # four seconds without a response of a warm endpoint
         harness.tick(0.25)
         for key_hash in range(1, 21):  # from many users, so that some are admitted
-            action = harness.request(key_hash=100 * turn + key_hash)
+            action = harness.request(key_hash=100 * tick_index + key_hash)
             if isinstance(action, StartAttempt) and endpoint_number(action.endpoint_id) == 1:
                 attempts_to_warming += 1
                 harness.complete(action)
