--- a/balancer/sidecar/discovery/profile.py
+++ b/balancer/sidecar/discovery/profile.py
@@ -91,8 +91,9 @@
 """For lists that are polled from a service that all sidecars share.
 
 A call may hang or fail at the end of its long-poll timeout and grace period, after 3 s. The policy delays the
-next call by up to 1.75 s, its longest delay and one measurement cycle, and 0.5 s is left for the response.
-The cost of a call depends on the number of entries that it returns; one that returns nothing new is free.
+next call by up to 1.75 s: its longest delay and one interval of the control cycle's timer. This leaves 0.5 s
+for the response. The cost of a call depends on the number of entries that it returns; one that returns
+nothing new is free.
 """
 
 
